--- a/control/claims.cpp
+++ b/control/claims.cpp
@@ -24,17 +24,17 @@
              row.ended.answer };
 }
 
-auto isGrantTo(const state::ClaimRow &row, const state::TakeClaim &mine) -> bool
+auto isGrantTo(const state::ClaimRow &row, const state::TakeClaim &requested) -> bool
 {
-    return row.state == state::ClaimState::Taken && row.taken.router == mine.router
-            && row.taken.incarnation == mine.incarnation && row.taken.deadline == mine.deadline
-            && row.taken.at == mine.at;
+    return row.state == state::ClaimState::Taken && row.taken.router == requested.router
+            && row.taken.incarnation == requested.incarnation
+            && row.taken.deadline == requested.deadline && row.taken.at == requested.at;
 }
 
 } // namespace
 
 auto claimReply(const absl::Status &status, const state::ClaimRow *row,
-                const state::TakeClaim &mine) -> proto::ClaimReply
+                const state::TakeClaim &requested) -> proto::ClaimReply
 {
     auto reply = proto::ClaimReply {};
     if (errorKind(status) == ErrorKind::KeyReused)
@@ -43,7 +43,7 @@
         reply.verdict = proto::ClaimVerdict::InProgress;
     else if (status.ok() && row && row->state == state::ClaimState::Done)
         reply = storedReply(*row);
-    else if (status.ok() && row && isGrantTo(*row, mine))
+    else if (status.ok() && row && isGrantTo(*row, requested))
         reply.verdict = proto::ClaimVerdict::Granted;
     return reply;
 }
--- a/control/claims.h
+++ b/control/claims.h
@@ -46,7 +46,7 @@
 /// @param mine the claim asked for
 /// @return the verdict that the router is told
 auto claimReply(const absl::Status &status, const state::ClaimRow *row,
-                const state::TakeClaim &mine) -> proto::ClaimReply;
+                const state::TakeClaim &requested) -> proto::ClaimReply;
 
 } // namespace figrack::control
 
--- a/control/control.cpp
+++ b/control/control.cpp
@@ -47,7 +47,7 @@
     checkLeadership();
     routers_.tick();
     endpoints_.tick();
-    if (leading_) {
+    if (leadingTerm_) {
         claims_.tick();
         orders_.tick();
         scheduler_.tick();
@@ -65,36 +65,36 @@
 {
     const auto status = node_.status();
     const auto leads = status.role == coord::Role::Leader;
-    if (leading_ && (!leads || *leading_ != status.term))
+    if (leadingTerm_ && (!leads || *leadingTerm_ != status.term))
         endLeading();
     const auto held = leads && node_.holdsLease();
-    if (!leading_ && held)
+    if (!leadingTerm_ && held)
         beginLeading(status.term);
-    if (leading_ && leaseHeld_ && !held) {
+    if (leadingTerm_ && leaseHeld_ && !held) {
         LogEvent(LogLevel::Warning, "lease_lapsed").with("term", status.term);
         port_.abortAll();
     }
-    leaseHeld_ = leading_ && held;
+    leaseHeld_ = leadingTerm_ && held;
 }
 
 auto Control::beginLeading(Term term) -> void
 {
     LogEvent(LogLevel::Info, "leading").with("term", term);
-    leading_ = term;
+    leadingTerm_ = term;
     orders_.onLeading(term);
     scheduler_.onLeading(term);
     reports_.onLeading();
     routers_.onLeading();
     endpoints_.onLeading();
-    digestAt_ = clock_.now();
+    nextDigestAt_ = clock_.now();
     for (const auto &peer : routerPeers())
-        (void)peer->send({ 0, endpoints_.wholeDigest() });
+        (void)peer->send({ 0, endpoints_.fullDigest() });
 }
 
 auto Control::endLeading() -> void
 {
-    LogEvent(LogLevel::Info, "not_leading").with("term", *leading_);
-    leading_.reset();
+    LogEvent(LogLevel::Info, "not_leading").with("term", *leadingTerm_);
+    leadingTerm_.reset();
     orders_.onNotLeading();
     scheduler_.onNotLeading();
     reports_.onNotLeading();
@@ -117,8 +117,8 @@
 auto Control::onOpen(const proto::PeerPointer &peer) -> void
 {
     peers_[peer.get()] = peer;
-    if (leading_ && !isControl(peer->peer()))
-        (void)peer->send({ 0, endpoints_.wholeDigest() });
+    if (leadingTerm_ && !isControl(peer->peer()))
+        (void)peer->send({ 0, endpoints_.fullDigest() });
 }
 
 auto Control::onClose(const proto::PeerPointer &peer) -> void
@@ -155,7 +155,7 @@
     }
     auto operator()(const proto::DemandReport &report) const -> void
     {
-        control.routers_.onHeard(report.router, report.incarnation, report.appliedRevision);
+        control.routers_.onActivity(report.router, report.incarnation, report.appliedRevision);
         control.scheduler_.onDemand(report);
         control.scheduler_.tick();
     }
@@ -207,9 +207,9 @@
 
 auto Control::pushDigest() -> void
 {
-    if (clock_.now() < digestAt_)
+    if (clock_.now() < nextDigestAt_)
         return;
-    digestAt_ = clock_.now() + options_.digestEvery;
+    nextDigestAt_ = clock_.now() + options_.digestEvery;
     const auto digest = endpoints_.takeDigest();
     if (digest.rows.empty())
         return;
@@ -277,7 +277,7 @@
 auto Control::makeReport(Duration window, report::ReportFormat format,
                          std::function<void(std::string)> done) -> void
 {
-    reports_.whenFresh(routerPeers(), [this, window, format, done = std::move(done)] {
+    reports_.refresh(routerPeers(), [this, window, format, done = std::move(done)] {
         done(reports_.render(window, format));
     });
 }
--- a/control/control.h
+++ b/control/control.h
@@ -109,9 +109,9 @@
     Scheduler scheduler_;
     Reports reports_;
     std::map<const proto::PeerConnection *, proto::PeerPointer> peers_;
-    std::optional<Term> leading_;
+    std::optional<Term> leadingTerm_;
     bool leaseHeld_ = false; ///< At the last look, while leading.
-    Instant digestAt_;
+    Instant nextDigestAt_;
 };
 
 } // namespace figrack::control
--- a/control/demand.cpp
+++ b/control/demand.cpp
@@ -20,10 +20,10 @@
     auto &reporter = reporters_[report.router];
     if (reporter.incarnation == report.incarnation && report.sequence <= reporter.sequence)
         return change;
-    forget(report.router, reporter, change.cells);
+    removeRows(report.router, reporter, change.cells);
     reporter.incarnation = report.incarnation;
     reporter.sequence = report.sequence;
-    reporter.heardAt = now;
+    reporter.receivedAt = now;
     auto left = options_.maxRows;
     for (const auto &row : report.rows) {
         if (left-- == 0)
@@ -41,7 +41,8 @@
     return change;
 }
 
-auto Demand::forget(const NodeId &router, Reporter &reporter, std::set<DemandCell> &changed) -> void
+auto Demand::removeRows(const NodeId &router, Reporter &reporter, std::set<DemandCell> &changed)
+        -> void
 {
     for (const auto &cell : reporter.cells) {
         const auto found = rows_.find(cell);
@@ -58,11 +59,11 @@
     auto changed = std::set<DemandCell> {};
     const auto oldest = clock_.now() - options_.staleAfter;
     for (auto item = reporters_.begin(); item != reporters_.end();) {
-        if (item->second.heardAt >= oldest) {
+        if (item->second.receivedAt >= oldest) {
             ++item;
             continue;
         }
-        forget(item->first, item->second, changed);
+        removeRows(item->first, item->second, changed);
         item = reporters_.erase(item);
     }
     return changed;
--- a/control/demand.h
+++ b/control/demand.h
@@ -82,11 +82,12 @@
     {
         Incarnation incarnation;
         std::uint64_t sequence = 0;
-        Instant heardAt;
+        Instant receivedAt;
         std::set<DemandCell> cells;
     };
 
-    auto forget(const NodeId &router, Reporter &reporter, std::set<DemandCell> &changed) -> void;
+    auto removeRows(const NodeId &router, Reporter &reporter, std::set<DemandCell> &changed)
+            -> void;
 
     DemandOptions options_;
     const Clock &clock_;
--- a/control/endpoints.cpp
+++ b/control/endpoints.cpp
@@ -32,21 +32,21 @@
 
 auto Endpoints::onReport(const proto::EndpointReport &report) -> void
 {
-    if (!isNews(report))
+    if (!isNewer(report))
         return;
     const auto &id = report.spec.id;
     auto &row = rows_[id];
     row.report = report;
-    row.heardAt = clock_.now();
+    row.receivedAt = clock_.now();
     changed_.insert(id);
     (void)detector_->heartbeat(peerOf(id), report.spec.incarnation, report.spec.domain);
     if (leads_)
-        proposeFor(row);
+        proposeUpdate(row);
     if (onReport_)
         onReport_(report);
 }
 
-auto Endpoints::isNews(const proto::EndpointReport &report) const -> bool
+auto Endpoints::isNewer(const proto::EndpointReport &report) const -> bool
 {
     const auto found = rows_.find(report.spec.id);
     if (found == rows_.end())
@@ -57,7 +57,7 @@
     return report.sequence > last.sequence;
 }
 
-auto Endpoints::proposeFor(Row &row) -> void
+auto Endpoints::proposeUpdate(Row &row) -> void
 {
     const auto now = clock_.now();
     if (now < row.proposeAfter)
@@ -101,8 +101,8 @@
     expectAll();
     for (auto &[id, row] : rows_) {
         row.proposeAfter = {};
-        if (clock_.now() - row.heardAt < options_.detector.minTimeout)
-            proposeFor(row);
+        if (clock_.now() - row.receivedAt < options_.detector.minTimeout)
+            proposeUpdate(row);
     }
 }
 
@@ -219,7 +219,7 @@
     auto result = proto::LoadRow {};
     result.endpoint = row.report.spec.id;
     result.sequence = row.report.sequence;
-    const auto age = clock_.now() - row.heardAt;
+    const auto age = clock_.now() - row.receivedAt;
     result.ageMs = std::chrono::duration_cast<std::chrono::milliseconds>(age).count();
     result.replicas = row.report.replicas;
     return result;
@@ -236,7 +236,7 @@
     return digest;
 }
 
-auto Endpoints::wholeDigest() const -> proto::LoadDigest
+auto Endpoints::fullDigest() const -> proto::LoadDigest
 {
     auto digest = proto::LoadDigest {};
     for (const auto &[id, row] : rows_)
--- a/control/endpoints.h
+++ b/control/endpoints.h
@@ -56,7 +56,7 @@
     /// @return the rows that changed since the last call
     auto takeDigest() -> proto::LoadDigest;
     /// @return every row, for a router that has just connected
-    auto wholeDigest() const -> proto::LoadDigest;
+    auto fullDigest() const -> proto::LoadDigest;
     /// Called with each report that was taken.
     auto setOnReport(std::function<void(const proto::EndpointReport &)> listener) -> void;
 
@@ -64,14 +64,14 @@
     struct Row
     {
         proto::EndpointReport report;
-        Instant heardAt;
+        Instant receivedAt;
         Instant proposeAfter;
         std::optional<Instant> suspectedAt;
     };
 
-    auto isNews(const proto::EndpointReport &report) const -> bool;
+    auto isNewer(const proto::EndpointReport &report) const -> bool;
     auto expectAll() -> void;
-    auto proposeFor(Row &row) -> void;
+    auto proposeUpdate(Row &row) -> void;
     auto neededCommand(const proto::EndpointReport &report) const -> std::optional<state::Command>;
     auto onEvent(const coord::DetectorEvent &event) -> void;
     auto setSuspected(const EndpointId &endpoint, Incarnation incarnation, bool suspected) -> void;
--- a/control/feed.cpp
+++ b/control/feed.cpp
@@ -54,8 +54,8 @@
 auto Feed::pumpOne(Subscriber &subscriber, const coord::ReplicaStatus &status, BatchCache &cache)
         -> void
 {
-    auto news = subscriber.leader != status.leader;
-    while (news || subscriber.next <= status.appliedIndex) {
+    auto leaderChanged = subscriber.leader != status.leader;
+    while (leaderChanged || subscriber.next <= status.appliedIndex) {
         const auto from = subscriber.next;
         auto found = cache.find(from);
         if (found == cache.end())
@@ -64,7 +64,7 @@
             return;
         subscriber.next = std::max(subscriber.next, found->second.upTo.next());
         subscriber.leader = status.leader;
-        news = false;
+        leaderChanged = false;
     }
 }
 
--- a/control/node.cpp
+++ b/control/node.cpp
@@ -36,20 +36,20 @@
     auto status = replica_.start();
     if (status.ok())
         grantor_.onRecovered();
-    settle();
+    deliverApplied();
     return status;
 }
 
 auto Node::tick() -> void
 {
     replica_.tick();
-    settle();
+    deliverApplied();
 }
 
 auto Node::receive(const coord::Message &message) -> void
 {
     replica_.receive(message);
-    settle();
+    deliverApplied();
 }
 
 auto Node::propose(const state::Command &command, Done done) -> void
@@ -75,7 +75,7 @@
             return;
         flushScheduled_ = false;
         replica_.flush();
-        settle();
+        deliverApplied();
     });
 }
 
@@ -108,7 +108,7 @@
 auto Node::transferLeadership() -> absl::Status
 {
     auto status = replica_.transferLeadership();
-    settle();
+    deliverApplied();
     return status;
 }
 
@@ -127,7 +127,7 @@
     auto command = state::decodeCommand(entry.data);
     FIGRACK_CHECK(command.ok(), "a committed command can be decoded");
     auto applied = tables_.apply(*command, entry.index);
-    noteRouters(*command);
+    updateGrantor(*command);
     grantor_.onApplied(entry.index, tables_.configuration().revision);
     applied_.push_back({ entry.index, entry.term, std::move(*command), std::move(applied) });
 }
@@ -145,7 +145,7 @@
         return status;
     for (const auto &[node, row] : before)
         grantor_.onDeregistered(node);
-    noteAllRouters();
+    registerAllRouters();
     grantor_.onApplied(lastIndex, tables_.configuration().revision);
     applied_.clear();
     restored_ = true;
@@ -171,7 +171,7 @@
         grantor_.onRemovalStored(entry.index, removed->node, removed->incarnation);
 }
 
-auto Node::noteRouters(const state::Command &command) -> void
+auto Node::updateGrantor(const state::Command &command) -> void
 {
     if (const auto *joined = std::get_if<state::RegisterRouter>(&command)) {
         const auto row = tables_.routers().find(joined->node);
@@ -184,20 +184,20 @@
     }
 }
 
-auto Node::noteAllRouters() -> void
+auto Node::registerAllRouters() -> void
 {
     for (const auto &[node, row] : tables_.routers())
         grantor_.onRegistered(node, row.registered.incarnation);
 }
 
-auto Node::settle() -> void
+auto Node::deliverApplied() -> void
 {
     const auto status = replica_.status();
     const auto leads = status.role == coord::Role::Leader && replica_.holdsLease();
     lease_.publish(leads ? status.term : Term {}, replica_.leaseEnd());
-    if (settling_)
+    if (delivering_)
         return;
-    settling_ = true;
+    delivering_ = true;
     if (std::exchange(restored_, false) && onRestored_)
         onRestored_();
     while (!applied_.empty()) {
@@ -205,13 +205,13 @@
         applied_.pop_front();
         if (onApplied_)
             onApplied_(applied);
-        finish(applied);
+        completeProposal(applied);
     }
-    failLost(status);
-    settling_ = false;
+    failLostProposals(status);
+    delivering_ = false;
 }
 
-auto Node::finish(const AppliedCommand &applied) -> void
+auto Node::completeProposal(const AppliedCommand &applied) -> void
 {
     const auto found = proposals_.find(applied.index);
     if (found == proposals_.end())
@@ -225,7 +225,7 @@
 }
 
 // A proposal of a term that is over may yet be committed by the next leader.
-auto Node::failLost(const coord::ReplicaStatus &status) -> void
+auto Node::failLostProposals(const coord::ReplicaStatus &status) -> void
 {
     const auto leads = status.role == coord::Role::Leader;
     const auto now = clock_.now();
--- a/control/node.h
+++ b/control/node.h
@@ -108,13 +108,13 @@
     auto restore(std::string_view state, LogIndex lastIndex) -> absl::Status override;
 
     auto onStored(const coord::Entry &entry, bool stored) -> void;
-    auto noteRouters(const state::Command &command) -> void;
-    auto noteAllRouters() -> void;
+    auto updateGrantor(const state::Command &command) -> void;
+    auto registerAllRouters() -> void;
     auto scheduleFlush() -> void;
     /// Publishes the lease and runs what the last call into the replica brought about.
-    auto settle() -> void;
-    auto finish(const AppliedCommand &applied) -> void;
-    auto failLost(const coord::ReplicaStatus &status) -> void;
+    auto deliverApplied() -> void;
+    auto completeProposal(const AppliedCommand &applied) -> void;
+    auto failLostProposals(const coord::ReplicaStatus &status) -> void;
     auto endProposal(std::map<LogIndex, Proposal>::iterator item, const absl::Status &status)
             -> std::map<LogIndex, Proposal>::iterator;
 
@@ -132,7 +132,7 @@
     std::deque<AppliedCommand> applied_; ///< Not yet passed on.
     bool restored_ = false;
     bool flushScheduled_ = false;
-    bool settling_ = false;
+    bool delivering_ = false;
 };
 
 } // namespace figrack::control
--- a/control/ordermachine.cpp
+++ b/control/ordermachine.cpp
@@ -27,11 +27,11 @@
     OrderReply reply = OrderReply::Unknown;
     Instant at;
 };
-struct Doubted
+struct MarkedInDoubt
 {
     Instant at;
 };
-struct Seen
+struct Observation
 {
     Observed observed = Observed::Absent;
     Instant askedAt;
@@ -43,7 +43,7 @@
     { };
     struct Working : msm::front::state<>
     { };
-    struct Doubtful : msm::front::state<>
+    struct InDoubt : msm::front::state<>
     { };
     struct Settled : msm::front::state<>
     { };
@@ -53,10 +53,10 @@
     MachineDef(OrderAction wanted, OrderMachineOptions times, bool earlierOrder)
         : action(wanted)
         , options(times)
-        , earlier(earlierOrder)
+        , earlierInFlight(earlierOrder)
     { }
 
-    auto loads() const -> bool { return action == OrderAction::Load; }
+    auto isLoad() const -> bool { return action == OrderAction::Load; }
 
     // --- guards ---
 
@@ -76,7 +76,7 @@
         {
             const auto certain = event.reply == OrderReply::Refused
                     || event.reply == OrderReply::StaleFence || event.reply == OrderReply::NotSent;
-            return certain && !machine.earlier;
+            return certain && !machine.earlierInFlight;
         }
     };
     struct IsNew
@@ -84,7 +84,7 @@
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> bool
         {
-            return event.askedAt >= machine.since;
+            return event.askedAt >= machine.validFrom;
         }
     };
     /// Working: the observation shows the end of it.
@@ -93,11 +93,11 @@
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> bool
         {
-            if (event.askedAt < machine.since)
+            if (event.askedAt < machine.validFrom)
                 return false;
-            if (machine.loads())
+            if (machine.isLoad())
                 return event.observed == Observed::Ready || event.observed == Observed::Absent;
-            const auto waited = event.askedAt - machine.since >= machine.options.unloadPatience;
+            const auto waited = event.askedAt - machine.validFrom >= machine.options.unloadTimeout;
             return event.observed == Observed::Absent
                     || (event.observed == Observed::Ready && waited);
         }
@@ -108,45 +108,45 @@
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> bool
         {
-            return event.askedAt >= machine.since && machine.loads()
+            return event.askedAt >= machine.validFrom && machine.isLoad()
                     && event.observed == Observed::Loading;
         }
     };
     /// Doubtful: nothing can change any more what the observation shows.
-    struct EndsDoubt
+    struct ResolvesDoubt
     {
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> bool
         {
-            if (event.askedAt < machine.since)
+            if (event.askedAt < machine.validFrom)
                 return false;
-            if (machine.loads() && event.observed == Observed::Ready)
+            if (machine.isLoad() && event.observed == Observed::Ready)
                 return true;
             if (event.observed != Observed::Absent && event.observed != Observed::Ready)
                 return false;
-            return machine.steadySince && *machine.steadyAs == event.observed
-                    && event.askedAt - *machine.steadySince >= machine.options.doubt;
+            return machine.unchangedSince && *machine.unchangedValue == event.observed
+                    && event.askedAt - *machine.unchangedSince >= machine.options.maxOrderDelay;
         }
     };
 
     // --- actions ---
 
-    struct Restart
+    struct ResetObservations
     {
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> void
         {
-            machine.since = event.at;
-            machine.steadySince.reset();
+            machine.validFrom = event.at;
+            machine.unchangedSince.reset();
         }
     };
-    struct TakeArrival
+    struct RecordArrival
     {
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> void
         {
-            machine.since = event.askedAt;
-            machine.earlier = false;
+            machine.validFrom = event.askedAt;
+            machine.earlierInFlight = false;
         }
     };
     struct Decline
@@ -154,7 +154,7 @@
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> void
         {
-            const auto unsent = event.reply == OrderReply::NotSent && machine.loads();
+            const auto unsent = event.reply == OrderReply::NotSent && machine.isLoad();
             machine.result = unsent ? OrderResult::Failed : OrderResult::Refused;
         }
     };
@@ -164,24 +164,24 @@
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> void
         {
             const auto present = event.observed == Observed::Ready;
-            if (machine.loads())
+            if (machine.isLoad())
                 machine.result = present ? OrderResult::Loaded : OrderResult::Failed;
             else
                 machine.result = present ? OrderResult::Refused : OrderResult::Unloaded;
         }
     };
     /// Remembers since when the observations agree.
-    struct Watch
+    struct TrackAgreement
     {
         template<typename Event, typename Machine, typename Source, typename Target>
         auto operator()(const Event &event, Machine &machine, Source &, Target &) const -> void
         {
-            if (event.askedAt < machine.since)
+            if (event.askedAt < machine.validFrom)
                 return;
-            if (machine.steadySince && *machine.steadyAs == event.observed)
+            if (machine.unchangedSince && *machine.unchangedValue == event.observed)
                 return;
-            machine.steadySince = event.askedAt;
-            machine.steadyAs = event.observed;
+            machine.unchangedSince = event.askedAt;
+            machine.unchangedValue = event.observed;
         }
     };
 
@@ -194,16 +194,16 @@
     // NOLINTNEXTLINE(readability-identifier-naming): the name that Boost.MSM looks for.
     struct transition_table : boost::mpl::vector<
         //  from      event     to        action       guard
-        Row<Sending,  Answered, Doubtful, Restart,     None>,
+        Row<Sending,  Answered, InDoubt, ResetObservations,     None>,
         Row<Sending,  Answered, Settled,  Decline,     Declined>,
-        Row<Sending,  Answered, Working,  Restart,     Arrived>,
-        Row<Sending,  Doubted,  Doubtful, Restart,     None>,
-        Row<Working,  Seen,     Settled,  Settle,      ShowsEnd>,
-        Row<Working,  Doubted,  Doubtful, Restart,     None>,
-        Row<Doubtful, Seen,     None,     Watch,       IsNew>,
-        Row<Doubtful, Seen,     Working,  TakeArrival, ShowsArrival>,
-        Row<Doubtful, Seen,     Settled,  Settle,      EndsDoubt>,
-        Row<Doubtful, Doubted,  Doubtful, Restart,     None>
+        Row<Sending,  Answered, Working,  ResetObservations,     Arrived>,
+        Row<Sending,  MarkedInDoubt,  InDoubt, ResetObservations,     None>,
+        Row<Working,  Observation,     Settled,  Settle,      ShowsEnd>,
+        Row<Working,  MarkedInDoubt,  InDoubt, ResetObservations,     None>,
+        Row<InDoubt, Observation,     None,     TrackAgreement,       IsNew>,
+        Row<InDoubt, Observation,     Working,  RecordArrival, ShowsArrival>,
+        Row<InDoubt, Observation,     Settled,  Settle,      ResolvesDoubt>,
+        Row<InDoubt, MarkedInDoubt,  InDoubt, ResetObservations,     None>
     > { };
     // clang-format on
 
@@ -213,10 +213,10 @@
 
     OrderAction action = OrderAction::Load;
     OrderMachineOptions options;
-    bool earlier = false;
-    Instant since; ///< Observations asked for before it say nothing.
-    std::optional<Instant> steadySince;
-    std::optional<Observed> steadyAs;
+    bool earlierInFlight = false;
+    Instant validFrom; ///< Observations asked for before it say nothing.
+    std::optional<Instant> unchangedSince;
+    std::optional<Observed> unchangedValue;
     std::optional<OrderResult> result;
 };
 
@@ -231,7 +231,7 @@
         return "sending";
     case OrderPhase::Working:
         return "working";
-    case OrderPhase::Doubtful:
+    case OrderPhase::InDoubt:
         return "doubtful";
     case OrderPhase::Settled:
         return "settled";
@@ -242,16 +242,16 @@
 class OrderMachine::Impl
 {
 public:
-    Impl(OrderAction action, OrderMachineOptions options, bool earlier)
-        : machine(action, options, earlier)
+    Impl(OrderAction action, OrderMachineOptions options, bool earlierInFlight)
+        : machine(action, options, earlierInFlight)
     {
         machine.start();
     }
     Machine machine;
 };
 
-OrderMachine::OrderMachine(OrderAction action, OrderMachineOptions options, bool earlier)
-    : impl_(std::make_unique<Impl>(action, options, earlier))
+OrderMachine::OrderMachine(OrderAction action, OrderMachineOptions options, bool earlierInFlight)
+    : impl_(std::make_unique<Impl>(action, options, earlierInFlight))
 { }
 OrderMachine::~OrderMachine() = default;
 OrderMachine::OrderMachine(OrderMachine &&) noexcept = default;
@@ -262,21 +262,21 @@
     impl_->machine.process_event(Answered { reply, now });
 }
 
-auto OrderMachine::onDoubt(Instant now) -> void
+auto OrderMachine::markInDoubt(Instant now) -> void
 {
-    impl_->machine.process_event(Doubted { now });
+    impl_->machine.process_event(MarkedInDoubt { now });
 }
 
 auto OrderMachine::onObservation(Observed observed, Instant askedAt) -> void
 {
-    impl_->machine.process_event(Seen { observed, askedAt });
+    impl_->machine.process_event(Observation { observed, askedAt });
 }
 
 auto OrderMachine::phase() const -> OrderPhase
 {
     // The back end numbers states in the order in which the table names them.
     constexpr auto order = std::array { OrderPhase::Sending, OrderPhase::Working,
-                                        OrderPhase::Doubtful, OrderPhase::Settled };
+                                        OrderPhase::InDoubt, OrderPhase::Settled };
     return order[static_cast<std::size_t>(impl_->machine.current_state()[0])];
 }
 
--- a/control/ordermachine.h
+++ b/control/ordermachine.h
@@ -33,7 +33,7 @@
 /// A model on an endpoint, as an observation shows it.
 enum class Observed : std::uint8_t { Absent, Loading, Ready, Unloading };
 
-enum class OrderPhase : std::uint8_t { Sending, Working, Doubtful, Settled };
+enum class OrderPhase : std::uint8_t { Sending, Working, InDoubt, Settled };
 
 /// @return "sending", "working", "doubtful" or "settled"
 auto orderPhaseName(OrderPhase phase) -> std::string_view;
@@ -41,9 +41,9 @@
 struct OrderMachineOptions
 {
     /// How long an order whose connection was aborted may still arrive.
-    Duration doubt = std::chrono::seconds { 10 };
+    Duration maxOrderDelay = std::chrono::seconds { 10 };
     /// An unload that was taken and shows no effect for so long counts as refused.
-    Duration unloadPatience = std::chrono::seconds { 30 };
+    Duration unloadTimeout = std::chrono::seconds { 30 };
 };
 
 class OrderMachine
@@ -52,7 +52,8 @@
     /// @param action what is ordered
     /// @param options the times
     /// @param earlier an order before this one for the same replica may still be under way
-    OrderMachine(state::OrderAction action, OrderMachineOptions options, bool earlier = false);
+    OrderMachine(state::OrderAction action, OrderMachineOptions options,
+                 bool earlierInFlight = false);
     ~OrderMachine();
     OrderMachine(OrderMachine &&) noexcept;
     auto operator=(OrderMachine &&) noexcept -> OrderMachine &;
@@ -60,7 +61,7 @@
     /// The sender is done with the order.
     auto onAnswer(endpoint::OrderReply reply, Instant now) -> void;
     /// Nobody here knows the order's fate: its sender is gone, or its endpoint has restarted.
-    auto onDoubt(Instant now) -> void;
+    auto markInDoubt(Instant now) -> void;
     /// @param observed the model there
     /// @param askedAt when the observation was asked for
     auto onObservation(Observed observed, Instant askedAt) -> void;
--- a/control/orders.cpp
+++ b/control/orders.cpp
@@ -73,11 +73,11 @@
     term_.reset();
     adoptAt_.reset();
     open_.clear();
-    openOn_.clear();
-    inquiries_.clear();
+    openByEndpoint_.clear();
+    polls_.clear();
     unlistedMb_.clear();
     adopting_.clear();
-    reordered_.clear();
+    reissuing_.clear();
 }
 
 // --- what earlier terms left ---
@@ -102,12 +102,12 @@
             .with("model", row.model)
             .with("checks_fence", endpoint.spec.checksFence);
     if (row.state == state::ReplicaState::Loading && endpoint.spec.checksFence && usable)
-        reorder(row);
+        reissueLoad(row);
     else
-        doubt(row);
+        openInDoubt(row);
 }
 
-auto Orders::reorder(const state::ReplicaRow &row) -> void
+auto Orders::reissueLoad(const state::ReplicaRow &row) -> void
 {
     auto intent = state::OrderIntent {};
     intent.action = state::OrderAction::Load;
@@ -120,23 +120,23 @@
     intent.reason = row.reason;
     intent.at = wallMillis();
     const auto key = state::ReplicaKey { row.model, row.endpoint };
-    reordered_.insert(key);
+    reissuing_.insert(key);
     node_.propose(intent, [this, key](const absl::StatusOr<AppliedCommand> &result) {
-        reordered_.erase(key);
+        reissuing_.erase(key);
         if (!result.ok() || result->applied.status.ok() || !term_)
             return;
         const auto found = node_.tables().replicas().find(key);
         if (found != node_.tables().replicas().end())
-            doubt(found->second);
+            openInDoubt(found->second);
     });
 }
 
-auto Orders::doubt(const state::ReplicaRow &row) -> void
+auto Orders::openInDoubt(const state::ReplicaRow &row) -> void
 {
     const auto action = row.state == state::ReplicaState::Loading ? state::OrderAction::Load
                                                                   : state::OrderAction::Unload;
     auto machine = OrderMachine { action, options_.machine, true };
-    machine.onDoubt(clock_.now());
+    machine.markInDoubt(clock_.now());
     openOrder(row.order,
               { state::ReplicaKey { row.model, row.endpoint }, std::move(machine), action, false });
 }
@@ -152,9 +152,9 @@
     else if (const auto *outcome = std::get_if<state::OrderOutcome>(&applied.command))
         onOutcome(*outcome);
     else if (const auto *joined = std::get_if<state::RegisterEndpoint>(&applied.command))
-        forgetGone(joined->spec.id);
+        closeRemoved(joined->spec.id);
     else if (const auto *forgotten = std::get_if<state::ForgetEndpoint>(&applied.command))
-        forgetGone(forgotten->endpoint);
+        closeRemoved(forgotten->endpoint);
 }
 
 auto Orders::onIntent(const state::OrderIntent &intent, OrderId order) -> void
@@ -164,10 +164,10 @@
     // The tables may be further on than this command: what is undone already is not sent.
     if (intent.fence != Fence { term.value() } || !node_.tables().findOrder(order))
         return;
-    const auto earlier = reordered_.contains(key);
+    const auto earlierInFlight = reissuing_.contains(key);
     adopting_.erase(key);
     auto &open = openOrder(order,
-                           { key, OrderMachine { intent.action, options_.machine, earlier },
+                           { key, OrderMachine { intent.action, options_.machine, earlierInFlight },
                              intent.action, false });
     const auto address = parseAddress(node_.tables().endpoints().at(intent.endpoint).spec.address);
     if (!address.ok() || !node_.lease().holds(term, clock_.now())) {
@@ -224,7 +224,7 @@
             .with("reply", endpoint::orderReplyName(answer.reply))
             .with("detail", answer.detail);
     open.machine.onAnswer(answer.reply, clock_.now());
-    inquiries_[open.key.second].nextAt = clock_.now();
+    polls_[open.key.second].nextAt = clock_.now();
     settleIfDone(order, open);
 }
 
@@ -246,12 +246,12 @@
 auto Orders::openOrder(OrderId order, OpenOrder open) -> OpenOrder &
 {
     const auto endpoint = open.key.second;
-    for (const auto other : std::set<OrderId> { openOn_[endpoint] }) {
+    for (const auto other : std::set<OrderId> { openByEndpoint_[endpoint] }) {
         if (open_.at(other).key == open.key)
             closeOrder(other);
     }
-    openOn_[endpoint].insert(order);
-    inquiries_.try_emplace(endpoint);
+    openByEndpoint_[endpoint].insert(order);
+    polls_.try_emplace(endpoint);
     return open_.insert_or_assign(order, std::move(open)).first->second;
 }
 
@@ -260,18 +260,18 @@
     const auto found = open_.find(order);
     if (found == open_.end())
         return;
-    auto &orders = openOn_[found->second.key.second];
+    auto &orders = openByEndpoint_[found->second.key.second];
     orders.erase(order);
     if (orders.empty())
-        openOn_.erase(found->second.key.second);
+        openByEndpoint_.erase(found->second.key.second);
     open_.erase(found);
 }
 
 // Orders whose replica went with its endpoint's former life, or with the endpoint.
-auto Orders::forgetGone(const EndpointId &endpoint) -> void
+auto Orders::closeRemoved(const EndpointId &endpoint) -> void
 {
-    const auto found = openOn_.find(endpoint);
-    if (found == openOn_.end())
+    const auto found = openByEndpoint_.find(endpoint);
+    if (found == openByEndpoint_.end())
         return;
     for (const auto order : std::set<OrderId> { found->second }) {
         if (!node_.tables().findOrder(order))
@@ -290,28 +290,28 @@
         adoptEarlier();
     for (auto &[order, open] : open_)
         settleIfDone(order, open);
-    for (auto item = inquiries_.begin(); item != inquiries_.end();) {
-        auto &[endpoint, inquiry] = *item;
-        const auto wanted = inquiry.audit || openOn_.contains(endpoint);
-        if (wanted && !inquiry.underWay && now >= inquiry.nextAt)
-            ask(endpoint, inquiry);
-        const auto idle = !wanted && !inquiry.underWay && now >= inquiry.auditAt;
-        item = idle ? inquiries_.erase(item) : std::next(item);
+    for (auto item = polls_.begin(); item != polls_.end();) {
+        auto &[endpoint, poll] = *item;
+        const auto wanted = poll.audit || openByEndpoint_.contains(endpoint);
+        if (wanted && !poll.inFlight && now >= poll.nextAt)
+            pollStatus(endpoint, poll);
+        const auto idle = !wanted && !poll.inFlight && now >= poll.auditAt;
+        item = idle ? polls_.erase(item) : std::next(item);
     }
 }
 
-auto Orders::ask(const EndpointId &endpoint, Inquiry &inquiry) -> void
+auto Orders::pollStatus(const EndpointId &endpoint, StatusPoll &poll) -> void
 {
     const auto &rows = node_.tables().endpoints();
     const auto row = rows.find(endpoint);
-    inquiry.audit = false;
-    inquiry.nextAt = clock_.now() + pollGap(endpoint);
+    poll.audit = false;
+    poll.nextAt = clock_.now() + pollInterval(endpoint);
     if (row == rows.end())
         return;
     const auto address = parseAddress(row->second.spec.address);
     if (!address.ok())
         return;
-    inquiry.underWay = true;
+    poll.inFlight = true;
     port_.fetchStatus(*address,
                       [this, endpoint, askedAt = clock_.now(), listed = listedOn(endpoint),
                        term = *term_, alive = std::weak_ptr<int> { alive_ }](
@@ -334,21 +334,21 @@
     return listed;
 }
 
-auto Orders::pollGap(const EndpointId &endpoint) const -> Duration
+auto Orders::pollInterval(const EndpointId &endpoint) const -> Duration
 {
-    const auto found = openOn_.find(endpoint);
-    const auto working = found != openOn_.end()
+    const auto found = openByEndpoint_.find(endpoint);
+    const auto working = found != openByEndpoint_.end()
             && std::any_of(found->second.begin(), found->second.end(), [this](OrderId order) {
-                             return open_.at(order).machine.phase() != OrderPhase::Doubtful;
+                             return open_.at(order).machine.phase() != OrderPhase::InDoubt;
                          });
-    return working ? options_.pollEvery : options_.pollDoubtEvery;
+    return working ? options_.pollEvery : options_.pollInDoubtEvery;
 }
 
 auto Orders::onStatus(const EndpointId &endpoint, Instant askedAt, const Listed &listed,
                       const absl::StatusOr<proto::EndpointReport> &report) -> void
 {
-    auto &inquiry = inquiries_[endpoint];
-    inquiry.underWay = false;
+    auto &poll = polls_[endpoint];
+    poll.inFlight = false;
     if (!report.ok() || report->spec.id != endpoint || !isCurrent(*report))
         return;
     observe(*report, askedAt);
@@ -364,8 +364,8 @@
 
 auto Orders::observe(const proto::EndpointReport &report, Instant askedAt) -> void
 {
-    const auto found = openOn_.find(report.spec.id);
-    if (found == openOn_.end())
+    const auto found = openByEndpoint_.find(report.spec.id);
+    if (found == openByEndpoint_.end())
         return;
     for (const auto order : std::set<OrderId> { found->second }) {
         auto &open = open_.at(order);
@@ -417,11 +417,11 @@
         unlistedMb_.erase(report.spec.id);
         return;
     }
-    auto &inquiry = inquiries_[report.spec.id];
-    if (clock_.now() < inquiry.auditAt)
+    auto &poll = polls_[report.spec.id];
+    if (clock_.now() < poll.auditAt)
         return;
-    inquiry.audit = true;
-    inquiry.auditAt = clock_.now() + options_.auditEvery;
+    poll.audit = true;
+    poll.auditAt = clock_.now() + options_.auditEvery;
 }
 
 auto Orders::audit(const proto::EndpointReport &report, const Listed &listed) -> void
@@ -429,8 +429,8 @@
     const auto &endpoint = report.spec.id;
     for (const auto &[model, order] : listed.ready) {
         const auto *row = node_.tables().findOrder(order);
-        const auto standing = row && row->state == state::ReplicaState::Ready;
-        if (!standing || observedOf(report, model) != Observed::Absent)
+        const auto stillReady = row && row->state == state::ReplicaState::Ready;
+        if (!stillReady || observedOf(report, model) != Observed::Absent)
             continue;
         LogEvent(LogLevel::Warning, "replica_gone").with("endpoint", endpoint).with("model", model);
         proposeOutcome(order, state::OrderResult::Unloaded);
--- a/control/orders.h
+++ b/control/orders.h
@@ -36,8 +36,8 @@
 struct OrdersOptions
 {
     OrderMachineOptions machine;
-    Duration pollEvery = std::chrono::milliseconds { 100 };      ///< While an order is carried out.
-    Duration pollDoubtEvery = std::chrono::milliseconds { 500 }; ///< While one is in doubt.
+    Duration pollEvery = std::chrono::milliseconds { 100 }; ///< While an order is carried out.
+    Duration pollInDoubtEvery = std::chrono::milliseconds { 500 }; ///< While one is in doubt.
     Duration auditEvery = std::chrono::seconds { 5 }; ///< At most, for one endpoint that differs.
     /// After gaining the lease, before anything of an earlier term is judged: what an earlier
     /// leader wrote may be acknowledged no longer than this after it had to abort.
@@ -84,9 +84,9 @@
         bool outcomeProposed = false;
     };
     /// What is being asked of one endpoint.
-    struct Inquiry
+    struct StatusPoll
     {
-        bool underWay = false;
+        bool inFlight = false;
         Instant nextAt;
         Instant auditAt; ///< Not to be audited again before.
         bool audit = false;
@@ -101,23 +101,23 @@
 
     auto adoptEarlier() -> void;
     auto adopt(const state::ReplicaRow &row) -> void;
-    auto reorder(const state::ReplicaRow &row) -> void;
-    auto doubt(const state::ReplicaRow &row) -> void;
+    auto reissueLoad(const state::ReplicaRow &row) -> void;
+    auto openInDoubt(const state::ReplicaRow &row) -> void;
     auto onIntent(const state::OrderIntent &intent, OrderId order) -> void;
     auto makeOrder(const state::OrderIntent &intent, OrderId order) const -> endpoint::Order;
     auto onAnswer(OrderId order, const endpoint::OrderAnswer &answer) -> void;
     auto onOutcome(const state::OrderOutcome &outcome) -> void;
     auto openOrder(OrderId order, OpenOrder open) -> OpenOrder &;
     auto closeOrder(OrderId order) -> void;
-    auto forgetGone(const EndpointId &endpoint) -> void;
+    auto closeRemoved(const EndpointId &endpoint) -> void;
 
-    auto ask(const EndpointId &endpoint, Inquiry &inquiry) -> void;
+    auto pollStatus(const EndpointId &endpoint, StatusPoll &poll) -> void;
     auto onStatus(const EndpointId &endpoint, Instant askedAt, const Listed &listed,
                   const absl::StatusOr<proto::EndpointReport> &report) -> void;
     auto observe(const proto::EndpointReport &report, Instant askedAt) -> void;
     auto audit(const proto::EndpointReport &report, const Listed &listed) -> void;
     auto listedOn(const EndpointId &endpoint) const -> Listed;
-    auto pollGap(const EndpointId &endpoint) const -> Duration;
+    auto pollInterval(const EndpointId &endpoint) const -> Duration;
     auto settleIfDone(OrderId order, OpenOrder &open) -> void;
     auto proposeOutcome(OrderId order, state::OrderResult result) -> void;
     auto proposeAdoption(const EndpointId &endpoint, const proto::ObservedReplica &found) -> void;
@@ -132,11 +132,11 @@
     std::optional<Term> term_;                              ///< While leading.
     std::optional<Instant> adoptAt_;                        ///< End of the hold-off.
     std::map<OrderId, OpenOrder> open_;
-    std::map<EndpointId, std::set<OrderId>> openOn_;
-    std::map<EndpointId, Inquiry> inquiries_;
+    std::map<EndpointId, std::set<OrderId>> openByEndpoint_;
+    std::map<EndpointId, StatusPoll> polls_;
     std::map<EndpointId, std::uint64_t> unlistedMb_;
     std::set<state::ReplicaKey> adopting_;  ///< Intents proposed for what was found loaded.
-    std::set<state::ReplicaKey> reordered_; ///< Intents proposed for loads of earlier terms.
+    std::set<state::ReplicaKey> reissuing_; ///< Intents proposed for loads of earlier terms.
     Fence highestSent_;
     std::function<void(const LoadFailure &)> onFailure_;
     std::uint64_t sent_ = 0;
--- a/control/process.cpp
+++ b/control/process.cpp
@@ -25,8 +25,8 @@
 
 namespace asio = boost::asio;
 
-constexpr auto leaseWatchEvery = std::chrono::milliseconds { 10 };
-constexpr auto stopPatience = std::chrono::seconds { 5 };
+constexpr auto leaseCheckInterval = std::chrono::milliseconds { 10 };
+constexpr auto handoverTimeout = std::chrono::seconds { 5 };
 
 auto randomSeed() -> std::uint64_t
 {
@@ -45,8 +45,8 @@
         , context_(context)
         , strand_(asio::make_strand(context))
         , timer_(strand_)
-        , watchStrand_(asio::make_strand(context))
-        , watchTimer_(watchStrand_)
+        , leaseStrand_(asio::make_strand(context))
+        , leaseTimer_(leaseStrand_)
         , random_(randomSeed())
         , store_({ .folder = options_.dataFolder }, disk_)
         , port_(context, strand_, options_.orders)
@@ -66,8 +66,8 @@
                       const std::shared_ptr<SecretFile> &tokens) -> absl::Status;
     auto scheduleTick() -> void;
     auto tick() -> void;
-    auto scheduleWatch() -> void;
-    auto watchLease() -> void;
+    auto scheduleLeaseCheck() -> void;
+    auto checkLease() -> void;
     auto awaitHandover(Instant deadline, std::function<void()> done) -> void;
     auto closeAll() -> void;
 
@@ -76,9 +76,9 @@
     asio::io_context &context_;
     Strand strand_;
     BootTimer timer_;
-    Strand watchStrand_;
-    BootTimer watchTimer_;
-    bool wasHeld_ = false; ///< By the watch.
+    Strand leaseStrand_;
+    BootTimer leaseTimer_;
+    bool leaseWasHeld_ = false; ///< By the watch.
     Random random_;
     coord::PosixDisk disk_;
     coord::FileLogStore store_;
@@ -109,7 +109,7 @@
     if (auto status = startServers(channel, *tokens); !status.ok())
         return status;
     scheduleTick();
-    scheduleWatch();
+    scheduleLeaseCheck();
     LogEvent(LogLevel::Info, "control_started")
             .with("incarnation", incarnation)
             .with("listen", options_.listen.text())
@@ -197,23 +197,23 @@
     scheduleTick();
 }
 
-auto Process::Impl::scheduleWatch() -> void
+auto Process::Impl::scheduleLeaseCheck() -> void
 {
-    watchTimer_.expires_after(leaseWatchEvery);
-    watchTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
+    leaseTimer_.expires_after(leaseCheckInterval);
+    leaseTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         auto self = weak.lock();
         if (self && !error && !self->stopped_)
-            self->watchLease();
+            self->checkLease();
     });
 }
 
-auto Process::Impl::watchLease() -> void
+auto Process::Impl::checkLease() -> void
 {
     const auto held = control_->node().lease().holdsAny(clock_.now());
-    if (wasHeld_ && !held)
+    if (leaseWasHeld_ && !held)
         port_.abortAll();
-    wasHeld_ = held;
-    scheduleWatch();
+    leaseWasHeld_ = held;
+    scheduleLeaseCheck();
 }
 
 auto Process::Impl::stop(std::function<void()> done) -> void
@@ -222,7 +222,7 @@
         if (self->httpServer_)
             self->httpServer_->stopAccepting();
         (void)self->control_->transfer();
-        self->awaitHandover(self->clock_.now() + stopPatience, std::move(done));
+        self->awaitHandover(self->clock_.now() + handoverTimeout, std::move(done));
     });
 }
 
@@ -234,7 +234,7 @@
         done();
         return;
     }
-    auto timer = std::make_shared<BootTimer>(strand_, leaseWatchEvery);
+    auto timer = std::make_shared<BootTimer>(strand_, leaseCheckInterval);
     timer->async_wait([self = shared_from_this(), timer, deadline,
                        done = std::move(done)](const boost::system::error_code &) mutable {
         self->awaitHandover(deadline, std::move(done));
@@ -252,7 +252,7 @@
         peerServer_->stop();
     if (httpServer_)
         httpServer_->stop();
-    asio::post(watchStrand_, [self = shared_from_this()] { self->watchTimer_.cancel(); });
+    asio::post(leaseStrand_, [self = shared_from_this()] { self->leaseTimer_.cancel(); });
     LogEvent(LogLevel::Info, "control_stopped");
 }
 
--- a/control/reports.cpp
+++ b/control/reports.cpp
@@ -21,7 +21,7 @@
 {
     collector_.emplace(clock_, options_.collector);
     idle_.emplace(clock_);
-    pullAt_ = clock_.now();
+    nextPullAt_ = clock_.now();
     meteredAt_ = clock_.now();
 }
 
@@ -36,7 +36,7 @@
 
 auto Reports::isPullDue() const -> bool
 {
-    return collector_ && clock_.now() >= pullAt_;
+    return collector_ && clock_.now() >= nextPullAt_;
 }
 
 auto Reports::tick() -> void
@@ -45,12 +45,12 @@
         return;
     if (clock_.now() - meteredAt_ >= options_.meterEvery)
         meterIdle();
-    tellWaiters();
+    notifyWaiters();
 }
 
 auto Reports::pull(const std::vector<proto::PeerPointer> &routers) -> void
 {
-    pullAt_ = clock_.now() + options_.collector.pullInterval;
+    nextPullAt_ = clock_.now() + options_.collector.pullInterval;
     awaited_.clear();
     const auto &rows = node_.tables().routers();
     for (const auto &peer : routers) {
@@ -77,7 +77,7 @@
             = collector_->absorb(router, row->second.registered.incarnation, reply.report);
     if (!status.ok())
         LogEvent(LogLevel::Warning, "report_refused").with("router", router).with(status);
-    tellWaiters();
+    notifyWaiters();
 }
 
 auto Reports::meterIdle() -> void
@@ -96,7 +96,7 @@
     }
 }
 
-auto Reports::whenFresh(const std::vector<proto::PeerPointer> &routers, std::function<void()> done)
+auto Reports::refresh(const std::vector<proto::PeerPointer> &routers, std::function<void()> done)
         -> void
 {
     if (!collector_) {
@@ -104,11 +104,11 @@
         return;
     }
     pull(routers);
-    waiters_.push_back({ clock_.now() + options_.patience, std::move(done) });
-    tellWaiters();
+    waiters_.push_back({ clock_.now() + options_.replyTimeout, std::move(done) });
+    notifyWaiters();
 }
 
-auto Reports::tellWaiters() -> void
+auto Reports::notifyWaiters() -> void
 {
     auto waiting = std::vector<Waiter> {};
     for (auto &waiter : std::exchange(waiters_, {})) {
--- a/control/reports.h
+++ b/control/reports.h
@@ -3,7 +3,7 @@
 //   if (reports.isPullDue()) reports.pull(peers);
 //   reports.tick();                               // meters idle time
 //   reports.onReply(peer, reply);
-//   reports.whenFresh([&] { ... reports.render(window, format) ... });
+//   reports.refresh([&] { ... reports.render(window, format) ... });
 //
 // Soft state, on the leader only: a new leader asks the routers for all they have
 // (report/collector.h). Idle accelerator time is metered from the tables and the
@@ -31,7 +31,7 @@
 {
     report::CollectorOptions collector;
     Duration meterEvery = std::chrono::seconds { 1 };
-    Duration patience = std::chrono::milliseconds { 500 }; ///< For the routers' answers.
+    Duration replyTimeout = std::chrono::milliseconds { 500 }; ///< For the routers' answers.
 };
 
 class Reports
@@ -50,7 +50,7 @@
     auto onReply(const NodeId &router, const proto::ReportReply &reply) -> void;
 
     /// Asks all routers now and calls back once they have answered, or when patience ends.
-    auto whenFresh(const std::vector<proto::PeerPointer> &routers, std::function<void()> done)
+    auto refresh(const std::vector<proto::PeerPointer> &routers, std::function<void()> done)
             -> void;
     /// @return the report over a window
     auto render(Duration window, report::ReportFormat format) -> std::string;
@@ -62,7 +62,7 @@
         std::function<void()> done;
     };
     auto meterIdle() -> void;
-    auto tellWaiters() -> void;
+    auto notifyWaiters() -> void;
 
     ReportsOptions options_;
     const Clock &clock_;
@@ -72,7 +72,7 @@
     std::optional<report::IdleMeter> idle_;      ///< While leading.
     std::set<NodeId> awaited_;                   ///< Routers that have not answered the last pull.
     std::vector<Waiter> waiters_;
-    Instant pullAt_;
+    Instant nextPullAt_;
     Instant meteredAt_;
 };
 
--- a/control/routers.cpp
+++ b/control/routers.cpp
@@ -93,10 +93,10 @@
 auto Routers::onRenew(const Caller &caller, const coord::RenewRequest &request) -> void
 {
     caller.reply(node_.grant(request));
-    onHeard(request.observer, request.incarnation, request.applied);
+    onActivity(request.observer, request.incarnation, request.applied);
 }
 
-auto Routers::onHeard(const NodeId &router, Incarnation incarnation, Revision applied) -> void
+auto Routers::onActivity(const NodeId &router, Incarnation incarnation, Revision applied) -> void
 {
     const auto &rows = node_.tables().routers();
     const auto row = rows.find(router);
@@ -105,7 +105,7 @@
     (void)detector_->heartbeat(peerOf(router), incarnation, row->second.registered.domain);
     gate_.onAck(router, incarnation, applied);
     if (!waiters_.empty())
-        tellWaiters();
+        notifyWaiters();
 }
 
 auto Routers::onLeading() -> void
@@ -141,7 +141,7 @@
         gate_.onDeregistered(removed->node);
     } else if (applied.applied.change && applied.applied.change->won) {
         gate_.onCommitted(applied.applied.change->revision);
-        tellWaiters();
+        notifyWaiters();
     }
 }
 
@@ -166,7 +166,7 @@
             removeSilent(*suspected);
     }
     if (!waiters_.empty())
-        tellWaiters();
+        notifyWaiters();
 }
 
 auto Routers::removeSilent(const coord::PeerSuspected &event) -> void
@@ -188,19 +188,19 @@
         return;
     }
     waiters_.push_back({ revision, std::move(done) });
-    tellWaiters();
+    notifyWaiters();
 }
 
-auto Routers::tellWaiters() -> void
+auto Routers::notifyWaiters() -> void
 {
     const auto ready
             = std::stable_partition(waiters_.begin(), waiters_.end(), [this](const Waiter &waiter) {
                   return !gate_.accepted(waiter.revision);
               });
-    auto told = std::vector<Waiter> { std::make_move_iterator(ready),
-                                      std::make_move_iterator(waiters_.end()) };
+    auto notified = std::vector<Waiter> { std::make_move_iterator(ready),
+                                          std::make_move_iterator(waiters_.end()) };
     waiters_.erase(ready, waiters_.end());
-    for (auto &waiter : told)
+    for (auto &waiter : notified)
         waiter.done(absl::OkStatus());
 }
 
--- a/control/routers.h
+++ b/control/routers.h
@@ -37,7 +37,7 @@
     auto onDrain(const Caller &caller, const proto::DrainNotice &notice) -> void;
     auto onRenew(const Caller &caller, const coord::RenewRequest &request) -> void;
     /// A sign of life, with the revision in force there.
-    auto onHeard(const NodeId &router, Incarnation incarnation, Revision applied) -> void;
+    auto onActivity(const NodeId &router, Incarnation incarnation, Revision applied) -> void;
 
     auto onLeading() -> void;
     auto onNotLeading() -> void;
@@ -63,7 +63,7 @@
 
     auto expectAll() -> void;
     auto removeSilent(const coord::PeerSuspected &event) -> void;
-    auto tellWaiters() -> void;
+    auto notifyWaiters() -> void;
 
     RoutersOptions options_;
     const Clock &clock_;
--- a/control/scheduler.cpp
+++ b/control/scheduler.cpp
@@ -53,7 +53,7 @@
             .count();
 }
 
-auto Scheduler::toPlanner(state::Millis wall) const -> policy::Millis
+auto Scheduler::toPlannerTime(state::Millis wall) const -> policy::Millis
 {
     return wall - clock_.wallNow().time_since_epoch().count() + now();
 }
@@ -61,8 +61,8 @@
 auto Scheduler::onLeading(Term term) -> void
 {
     term_ = term;
-    proposed_ = 0;
-    wanted_ = true;
+    intentsInFlight_ = 0;
+    planNeeded_ = true;
     planner_.emplace(options_.planner);
     mirrorAll();
 }
@@ -74,9 +74,9 @@
     demand_.clear();
     replicas_.clear();
     uses_.clear();
-    tiers_.clear();
-    lessons_.clear();
-    aside_.clear();
+    proposedTiers_.clear();
+    pendingLoads_.clear();
+    backoffs_.clear();
 }
 
 // --- the mirror ---
@@ -154,7 +154,7 @@
     info.heldMb = tables.memoryHeldMb(endpoint) + orders_.unlistedMb(endpoint);
     info.accelerators = row.spec.accelerators;
     info.draining = row.draining;
-    info.usable = !row.draining && !row.suspected && !isAside(endpoint);
+    info.usable = !row.draining && !row.suspected && !isBackedOff(endpoint);
     planner_->setEndpoint(info);
     for (const auto &[model, memory] : tables.modelsOn(endpoint)) {
         mirrorReplica(tables.replicas().at(state::ReplicaKey { model, endpoint }));
@@ -183,7 +183,7 @@
     info.model = row.model;
     info.endpoint = row.endpoint;
     info.phase = phaseOf(row, Fence { term_->value() });
-    info.readyAt = toPlanner(row.readyAt);
+    info.readyAt = toPlannerTime(row.readyAt);
     info.idleSince = std::max(use->second.idleSince, info.readyAt);
     info.running = use->second.running;
     info.waiting = use->second.waiting;
@@ -194,7 +194,7 @@
 {
     for (const auto &cell : cells)
         planner_->setDemand(demand_.sum(cell, now()));
-    wanted_ = wanted_ || !cells.empty();
+    planNeeded_ = planNeeded_ || !cells.empty();
 }
 
 auto Scheduler::onDemand(const proto::DemandReport &report) -> void
@@ -230,7 +230,7 @@
 {
     if (!planner_ || !applied.applied.status.ok())
         return;
-    wanted_ = true;
+    planNeeded_ = true;
     const auto &command = applied.command;
     if (const auto *change = std::get_if<state::ConfigChange>(&command)) {
         mirrorChange(change->operation);
@@ -244,31 +244,32 @@
     } else if (const auto *forgotten = std::get_if<state::ForgetEndpoint>(&command)) {
         mirrorEndpoint(forgotten->endpoint);
     } else if (const auto *intent = std::get_if<state::OrderIntent>(&command)) {
-        noteIntent(*intent, applied.index);
+        recordIntent(*intent, applied.index);
     } else if (const auto *outcome = std::get_if<state::OrderOutcome>(&command)) {
-        learn(*outcome, applied.applied.replica->second);
+        recordOutcome(*outcome, applied.applied.replica->second);
     }
 }
 
-auto Scheduler::noteIntent(const state::OrderIntent &intent, LogIndex index) -> void
+auto Scheduler::recordIntent(const state::OrderIntent &intent, LogIndex index) -> void
 {
     const auto key = state::ReplicaKey { intent.model, intent.endpoint };
-    const auto tier = tiers_.find(key);
-    if (tier != tiers_.end() && intent.action == state::OrderAction::Load)
-        lessons_[OrderId { index.value() }] = { intent.model, tier->second, now() };
+    const auto tier = proposedTiers_.find(key);
+    if (tier != proposedTiers_.end() && intent.action == state::OrderAction::Load)
+        pendingLoads_[OrderId { index.value() }] = { intent.model, tier->second, now() };
     mirrorEndpoint(intent.endpoint);
 }
 
-auto Scheduler::learn(const state::OrderOutcome &outcome, const EndpointId &endpoint) -> void
+auto Scheduler::recordOutcome(const state::OrderOutcome &outcome, const EndpointId &endpoint)
+        -> void
 {
-    const auto lesson = lessons_.find(outcome.order);
-    if (lesson != lessons_.end()) {
-        const auto &load = lesson->second;
+    const auto pending = pendingLoads_.find(outcome.order);
+    if (pending != pendingLoads_.end()) {
+        const auto &load = pending->second;
         if (outcome.result == state::OrderResult::Loaded) {
             planner_->onLoadDone(load.model, load.from, now() - load.startedAt, now());
-            aside_.erase(endpoint);
+            backoffs_.erase(endpoint);
         }
-        lessons_.erase(lesson);
+        pendingLoads_.erase(pending);
     }
     mirrorEndpoint(endpoint);
 }
@@ -283,29 +284,29 @@
 {
     if (!planner_)
         return;
-    auto &aside = aside_[failure.endpoint];
-    aside.next = std::clamp(aside.next * 2, options_.asideMin, options_.asideMax);
-    aside.until = clock_.now() + aside.next;
-    aside.active = true;
+    auto &backoff = backoffs_[failure.endpoint];
+    backoff.delay = std::clamp(backoff.delay * 2, options_.backoffMin, options_.backoffMax);
+    backoff.until = clock_.now() + backoff.delay;
+    backoff.active = true;
     LogEvent(LogLevel::Warning, "load_failed")
             .with("endpoint", failure.endpoint)
             .with("model", failure.model);
     mirrorEndpoint(failure.endpoint);
 }
 
-auto Scheduler::isAside(const EndpointId &endpoint) const -> bool
+auto Scheduler::isBackedOff(const EndpointId &endpoint) const -> bool
 {
-    const auto found = aside_.find(endpoint);
-    return found != aside_.end() && found->second.active;
+    const auto found = backoffs_.find(endpoint);
+    return found != backoffs_.end() && found->second.active;
 }
 
 // The entry stays, so that the next failure keeps it aside for longer.
-auto Scheduler::bringBackAside() -> void
+auto Scheduler::endExpiredBackoffs() -> void
 {
-    for (auto &[endpoint, aside] : aside_) {
-        if (!aside.active || aside.until > clock_.now())
+    for (auto &[endpoint, backoff] : backoffs_) {
+        if (!backoff.active || backoff.until > clock_.now())
             continue;
-        aside.active = false;
+        backoff.active = false;
         mirrorEndpoint(endpoint);
     }
 }
@@ -317,16 +318,16 @@
     if (!planner_ || !node_.holdsLease())
         return;
     mirrorDemand(demand_.dropStale());
-    bringBackAside();
-    if (proposed_ > 0 || (!wanted_ && clock_.now() < planAt_))
+    endExpiredBackoffs();
+    if (intentsInFlight_ > 0 || (!planNeeded_ && clock_.now() < nextPlanAt_))
         return;
     plan();
 }
 
 auto Scheduler::plan() -> void
 {
-    wanted_ = false;
-    planAt_ = clock_.now() + options_.planEvery;
+    planNeeded_ = false;
+    nextPlanAt_ = clock_.now() + options_.planEvery;
     for (const auto &decision : planner_->plan(now()))
         propose(decision);
 }
@@ -355,13 +356,13 @@
     else if (model != tables.configuration().models.end())
         intent.version = model->second.version;
     if (load)
-        tiers_[key] = decision.from;
-    ++proposed_;
+        proposedTiers_[key] = decision.from;
+    ++intentsInFlight_;
     node_.propose(intent, [this, key, term = *term_](const absl::StatusOr<AppliedCommand> &result) {
         if (term_ != term)
             return;
-        --proposed_;
-        tiers_.erase(key);
+        --intentsInFlight_;
+        proposedTiers_.erase(key);
         if (result.ok() && !result->applied.status.ok()) {
             LogEvent(LogLevel::Warning, "intent_refused")
                     .with("endpoint", key.second)
--- a/control/scheduler.h
+++ b/control/scheduler.h
@@ -33,8 +33,8 @@
     policy::PlannerOptions planner;
     DemandOptions demand;
     Duration planEvery = std::chrono::milliseconds { 100 }; ///< Without news.
-    Duration asideMin = std::chrono::seconds { 1 };         ///< After a failed load; doubles.
-    Duration asideMax = std::chrono::seconds { 60 };
+    Duration backoffMin = std::chrono::seconds { 1 };       ///< After a failed load; doubles.
+    Duration backoffMax = std::chrono::seconds { 60 };
 };
 
 class Scheduler
@@ -59,10 +59,10 @@
 
 private:
     /// An endpoint that failed loads lately.
-    struct Aside
+    struct LoadBackoff
     {
         Instant until;
-        Duration next {};
+        Duration delay {};
         bool active = false;
     };
     /// What is known of a replica's use beyond the tables.
@@ -73,7 +73,7 @@
         policy::Millis idleSince = 0;
     };
     /// A load on its way, for the lesson that its end teaches.
-    struct Lesson
+    struct PendingLoad
     {
         ModelId model;
         policy::Tier from = policy::Tier::Remote;
@@ -88,14 +88,14 @@
     auto mirrorCaches(const state::EndpointSpec &spec) -> void;
     auto mirrorReplica(const state::ReplicaRow &row) -> void;
     auto mirrorDemand(const std::set<DemandCell> &cells) -> void;
-    auto learn(const state::OrderOutcome &outcome, const EndpointId &endpoint) -> void;
-    auto isAside(const EndpointId &endpoint) const -> bool;
-    auto noteIntent(const state::OrderIntent &intent, LogIndex index) -> void;
+    auto recordOutcome(const state::OrderOutcome &outcome, const EndpointId &endpoint) -> void;
+    auto isBackedOff(const EndpointId &endpoint) const -> bool;
+    auto recordIntent(const state::OrderIntent &intent, LogIndex index) -> void;
     auto plan() -> void;
     auto propose(const policy::Decision &decision) -> void;
-    auto bringBackAside() -> void;
+    auto endExpiredBackoffs() -> void;
     auto now() const -> policy::Millis;
-    auto toPlanner(state::Millis wall) const -> policy::Millis;
+    auto toPlannerTime(state::Millis wall) const -> policy::Millis;
 
     SchedulerOptions options_;
     const Clock &clock_;
@@ -107,12 +107,13 @@
     std::optional<policy::Planner> planner_; ///< While leading.
     std::map<EndpointId, std::set<ModelId>> replicas_;
     std::map<state::ReplicaKey, Use> uses_;
-    std::map<state::ReplicaKey, policy::Tier> tiers_; ///< Of loads decided, till they apply.
-    std::map<OrderId, Lesson> lessons_;
-    std::map<EndpointId, Aside> aside_;
-    std::size_t proposed_ = 0; ///< Intents on their way through the log.
-    bool wanted_ = false;      ///< Something changed since the last plan.
-    Instant planAt_;
+    std::map<state::ReplicaKey, policy::Tier>
+            proposedTiers_; ///< Of loads decided, till they apply.
+    std::map<OrderId, PendingLoad> pendingLoads_;
+    std::map<EndpointId, LoadBackoff> backoffs_;
+    std::size_t intentsInFlight_ = 0; ///< Intents on their way through the log.
+    bool planNeeded_ = false;         ///< Something changed since the last plan.
+    Instant nextPlanAt_;
 };
 
 } // namespace figrack::control
--- a/control/settings.cpp
+++ b/control/settings.cpp
@@ -89,7 +89,7 @@
     auto &control = options.control;
     options.orders.orderTimeout = settings.duration("orders.timeout");
     options.orders.userTimeout = settings.duration("orders.user_timeout");
-    control.orders.machine.doubt = settings.duration("orders.doubt");
+    control.orders.machine.maxOrderDelay = settings.duration("orders.doubt");
     control.orders.pollEvery = settings.duration("orders.poll_every");
     const auto &replica = control.node.replica;
     control.orders.holdOff = 2 * replica.electionTimeout + options.orders.userTimeout;
@@ -108,7 +108,7 @@
         return status;
     if (auto status = control.endpoints.detector.check(); !status.ok())
         return status;
-    if (control.orders.machine.doubt < options.orders.userTimeout)
+    if (control.orders.machine.maxOrderDelay < options.orders.userTimeout)
         return badKey("orders.doubt", "must not be below orders.user_timeout");
     if (options.certificateFile.empty() != options.keyPemFile.empty())
         return badKey("tls.certificate", "and tls.key go together");
--- a/control/testing/simulation.cpp
+++ b/control/testing/simulation.cpp
@@ -8,7 +8,7 @@
 
 constexpr auto routerEvery = milliseconds { 100 };
 constexpr auto engineEvery = milliseconds { 100 };
-constexpr auto routerLife = Incarnation { 1 };
+constexpr auto routerIncarnation = Incarnation { 1 };
 
 auto optionsOf(const coord::Member &self, const std::vector<coord::Member> &founders,
                const SimulationOptions &simulation) -> ControlOptions
@@ -23,7 +23,7 @@
     options.endpoints.detector.minTimeout = milliseconds { 800 };
     options.endpoints.detector.maxTimeout = seconds { 2 };
     options.endpoints.forgetAfter = seconds { 120 };
-    options.orders.machine.doubt = seconds { 2 };
+    options.orders.machine.maxOrderDelay = seconds { 2 };
     options.orders.holdOff = Duration {}; // The doubt time alone has to do.
 
     options.scheduler.planner.storeLoadsPerSecond = 100;
@@ -123,17 +123,18 @@
 
 auto SimControl::start() -> void
 {
-    ++life;
+    ++generation;
     paused = false;
-    held.clear();
+    deferred.clear();
     auto founders = std::vector<coord::Member> {};
     for (const auto &other : simulation.controls)
         founders.push_back(other->self);
     auto defer = [this](std::function<void()> work) {
-        simulation.later(Duration { 1000 }, [this, born = life, work = std::move(work)] {
-            if (born == life && control)
-                enter(work);
-        });
+        simulation.schedule(Duration { 1000 },
+                            [this, startGeneration = generation, work = std::move(work)] {
+                                if (startGeneration == generation && control)
+                                    runOrDefer(work);
+                            });
     };
     control = std::make_unique<Control>(optionsOf(self, founders, simulation.options),
                                         simulation.clock, *this, store, simulation.random, *this,
@@ -142,15 +143,15 @@
         throw std::runtime_error("a control does not start");
     for (auto &[name, peer] : peers)
         control->onOpen(peer);
-    tickLater();
+    scheduleTick();
 }
 
 auto SimControl::crash() -> void
 {
-    ++life;
+    ++generation;
     ++aborts;
     control.reset();
-    held.clear();
+    deferred.clear();
     for (auto &[name, peer] : peers)
         peer = std::make_shared<FakePeer>(name.value());
 }
@@ -158,30 +159,30 @@
 auto SimControl::resume() -> void
 {
     paused = false;
-    for (auto &work : std::exchange(held, {}))
-        enter(std::move(work));
+    for (auto &work : std::exchange(deferred, {}))
+        runOrDefer(std::move(work));
 }
 
-auto SimControl::enter(std::function<void()> work) -> void
+auto SimControl::runOrDefer(std::function<void()> work) -> void
 {
     if (!control)
         return;
     if (paused) {
-        held.push_back(std::move(work));
+        deferred.push_back(std::move(work));
         return;
     }
     work();
 }
 
-auto SimControl::tickLater() -> void
+auto SimControl::scheduleTick() -> void
 {
-    simulation.later(milliseconds { 10 }, [this, born = life] {
-        enter([this, born] {
-            if (born != life)
+    simulation.schedule(milliseconds { 10 }, [this, startGeneration = generation] {
+        runOrDefer([this, startGeneration] {
+            if (startGeneration != generation)
                 return;
             control->tick();
-            if (born == life && control)
-                tickLater();
+            if (startGeneration == generation && control)
+                scheduleTick();
         });
     });
 }
@@ -189,11 +190,11 @@
 auto SimControl::send(const NodeId &to, coord::Message message) -> void
 {
     const auto delay = milliseconds { 1 } * (1.0 + simulation.random.unit());
-    simulation.later(std::chrono::duration_cast<Duration>(delay), [this, to, message] {
+    simulation.schedule(std::chrono::duration_cast<Duration>(delay), [this, to, message] {
         auto *target = simulation.findControl(to);
         if (!target || !simulation.connected(self.node, to))
             return;
-        target->enter([this, target, message] {
+        target->runOrDefer([this, target, message] {
             auto &peer = target->peers[self.node];
             if (!peer)
                 peer = std::make_shared<FakePeer>(self.node.value());
@@ -207,55 +208,56 @@
 auto SimControl::send(const Address &endpoint, const endpoint::Order &order,
                       std::function<bool()> mayStart, OrderDone done) -> void
 {
-    auto flight = std::make_shared<Flight>();
+    auto flight = std::make_shared<InFlightOrder>();
     flight->endpoint = endpoint;
     flight->order = order;
-    flight->begun = aborts;
-    flight->answer = [this, born = life, done = std::move(done)](endpoint::OrderReply reply) {
-        if (born == life)
-            enter([done, reply] { done({ reply, {} }); });
+    flight->abortsAtStart = aborts;
+    flight->answer = [this, startGeneration = generation,
+                      done = std::move(done)](endpoint::OrderReply reply) {
+        if (startGeneration == generation)
+            runOrDefer([done, reply] { done({ reply, {} }); });
     };
-    simulation.later(milliseconds { 1 }, [this, born = life, flight, mayStart] {
-        if (born != life)
+    simulation.schedule(milliseconds { 1 }, [this, startGeneration = generation, flight, mayStart] {
+        if (startGeneration != generation)
             return;
-        enter([this, born, flight, mayStart] {
+        runOrDefer([this, startGeneration, flight, mayStart] {
             if (beforeSend)
                 beforeSend();
-            if (born == life)
-                enter([this, flight, mayStart] { start(flight, mayStart); });
+            if (startGeneration == generation)
+                runOrDefer([this, flight, mayStart] { start(flight, mayStart); });
         });
     });
 }
 
-auto SimControl::start(const std::shared_ptr<Flight> &flight, const std::function<bool()> &mayStart)
-        -> void
+auto SimControl::start(const std::shared_ptr<InFlightOrder> &flight,
+                       const std::function<bool()> &mayStart) -> void
 {
     const auto *engine = simulation.engineAt(flight->endpoint);
-    if (flight->begun != aborts || !engine || !mayStart()) {
+    if (flight->abortsAtStart != aborts || !engine || !mayStart()) {
         flight->answer(endpoint::OrderReply::NotSent);
         return;
     }
     flight->incarnation = engine->spec.incarnation;
-    leaveKernel(flight);
+    transmit(flight);
 }
 
-auto SimControl::leaveKernel(const std::shared_ptr<Flight> &flight) -> void
+auto SimControl::transmit(const std::shared_ptr<InFlightOrder> &flight) -> void
 {
-    if (flight->begun != aborts) {
+    if (flight->abortsAtStart != aborts) {
         flight->answer(endpoint::OrderReply::Unknown);
         return;
     }
     if (simulation.isolated.contains(self.node)) {
-        simulation.later(milliseconds { 10 }, [this, flight] { leaveKernel(flight); });
+        simulation.schedule(milliseconds { 10 }, [this, flight] { transmit(flight); });
         return;
     }
-    const auto longest = static_cast<std::uint64_t>(simulation.options.longestTransit.count());
+    const auto longest = static_cast<std::uint64_t>(simulation.options.maxTransit.count());
     const auto transit = Duration { static_cast<std::int64_t>(simulation.random.below(longest)) };
-    simulation.later(transit, [this, flight] { arrive(flight); });
+    simulation.schedule(transit, [this, flight] { arrive(flight); });
 }
 
 // A connection dies with the life of the engine that it was made to.
-auto SimControl::arrive(const std::shared_ptr<Flight> &flight) -> void
+auto SimControl::arrive(const std::shared_ptr<InFlightOrder> &flight) -> void
 {
     auto *engine = simulation.engineAt(flight->endpoint);
     if (!engine->up || engine->spec.incarnation != flight->incarnation) {
@@ -263,23 +265,24 @@
         return;
     }
     const auto reply = simulation.deliverOrder(*engine, flight->order);
-    simulation.later(milliseconds { 1 }, [this, flight, reply] {
-        const auto lost = flight->begun != aborts || simulation.isolated.contains(self.node);
+    simulation.schedule(milliseconds { 1 }, [this, flight, reply] {
+        const auto lost
+                = flight->abortsAtStart != aborts || simulation.isolated.contains(self.node);
         flight->answer(lost ? endpoint::OrderReply::Unknown : reply);
     });
 }
 
 auto SimControl::fetchStatus(const Address &endpoint, StatusDone done) -> void
 {
-    simulation.later(milliseconds { 2 }, [this, born = life, endpoint, done] {
-        if (born != life)
+    simulation.schedule(milliseconds { 2 }, [this, startGeneration = generation, endpoint, done] {
+        if (startGeneration != generation)
             return;
         auto *engine = simulation.engineAt(endpoint);
         const auto reachable = engine && engine->up && !simulation.isolated.contains(self.node);
         auto report = reachable
                 ? absl::StatusOr<proto::EndpointReport> { engine->report() }
                 : absl::StatusOr<proto::EndpointReport> { makeError(ErrorKind::Timeout, "status") };
-        enter([done, report = std::move(report)] { done(report); });
+        runOrDefer([done, report = std::move(report)] { done(report); });
     });
 }
 
@@ -336,7 +339,7 @@
     }
 }
 
-auto Simulation::later(Duration delay, std::function<void()> work) -> void
+auto Simulation::schedule(Duration delay, std::function<void()> work) -> void
 {
     events_.emplace(std::pair { clock.now() + delay, nextEvent_++ }, std::move(work));
 }
@@ -404,7 +407,7 @@
 auto Simulation::setDemand(const std::string &model, std::uint32_t queued) -> void
 {
     demand_[model] = queued;
-    arrived_.insert(model);
+    newDemand_.insert(model);
 }
 
 // Each router renews at every control, and the leader gets joins and demand.
@@ -416,27 +419,28 @@
         for (auto &control : controls) {
             if (isolated.contains(control->self.node))
                 continue;
-            control->enter([this, &control = *control, router, i] {
+            control->runOrDefer([this, &control = *control, router, i] {
                 auto &peer = control.peers[router];
                 const auto &tables = control.control->node().tables();
                 const auto revision = tables.configuration().revision;
-                auto renew = coord::RenewRequest { router, routerLife, revision, ++routerRound_ };
+                auto renew = coord::RenewRequest { router, routerIncarnation, revision,
+                                                   ++routerRound_ };
                 control.control->onMessage(peer, { 1, renew });
                 if (!control.control->node().holdsLease())
                     return;
-                auto join = state::RegisterRouter { router, routerLife, DomainId { "d1" },
+                auto join = state::RegisterRouter { router, routerIncarnation, DomainId { "d1" },
                                                     "127.0.0.1:1", 0 };
                 if (!tables.routers().contains(router))
                     control.control->onMessage(peer, { 2, proto::JoinRequest { join } });
                 auto report = proto::DemandReport {};
                 report.router = router;
-                report.incarnation = routerLife;
+                report.incarnation = routerIncarnation;
                 report.sequence = demandSequence_;
                 report.appliedRevision = revision;
                 for (const auto &[model, queued] : demand_) {
                     auto row = proto::DemandRow { ModelId { model }, ClassId { "urgent" } };
                     row.queued = queued;
-                    row.arrived = i == 0 && arrived_.contains(model) ? queued : 0;
+                    row.arrived = i == 0 && newDemand_.contains(model) ? queued : 0;
                     row.tightestSlackMs = 1000;
                     report.rows.push_back(row);
                 }
@@ -444,8 +448,8 @@
             });
         }
     }
-    arrived_.clear();
-    later(routerEvery, [this] { tickRouters(); });
+    newDemand_.clear();
+    schedule(routerEvery, [this] { tickRouters(); });
 }
 
 auto Simulation::tickEngines() -> void
@@ -461,12 +465,12 @@
         for (auto &control : controls) {
             if (isolated.contains(control->self.node))
                 continue;
-            control->enter([&control = *control, report] {
+            control->runOrDefer([&control = *control, report] {
                 control.control->onMessage(control.peers[NodeId { "r1" }], { 0, report });
             });
         }
     }
-    later(engineEvery, [this] { tickEngines(); });
+    schedule(engineEvery, [this] { tickEngines(); });
 }
 
 auto Simulation::engineAt(const Address &address) -> FakeEngine *
@@ -509,9 +513,9 @@
         return endpoint::OrderReply::Already;
     // A control that has not learnt of the order's intent yet says nothing against it.
     const auto &tables = committed();
-    const auto learnt = tables.appliedIndex().value() >= order.id.value();
-    if (learnt && !tables.replicas().contains({ order.model, engine.spec.id }))
-        ++undecidedLoads;
+    const auto intentApplied = tables.appliedIndex().value() >= order.id.value();
+    if (intentApplied && !tables.replicas().contains({ order.model, engine.spec.id }))
+        ++loadsWithoutIntent;
     if (engine.usedMb() + order.memoryMb > engine.spec.memoryMb)
         ++overcommitments;
     engine.models[order.model]
@@ -523,9 +527,9 @@
 auto Simulation::unload(FakeEngine &engine, const ModelId &model) -> void
 {
     engine.models.at(model).state = proto::ObservedState::Unloading;
-    later(milliseconds { 50 }, [&engine, model, life = engine.spec.incarnation] {
+    schedule(milliseconds { 50 }, [&engine, model, generation = engine.spec.incarnation] {
         const auto found = engine.models.find(model);
-        if (found != engine.models.end() && engine.spec.incarnation == life
+        if (found != engine.models.end() && engine.spec.incarnation == generation
             && found->second.state == proto::ObservedState::Unloading)
             engine.models.erase(found);
     });
--- a/control/testing/simulation.h
+++ b/control/testing/simulation.h
@@ -126,31 +126,31 @@
     auto abortAll() -> void override;
 
     /// An order on its way to an engine.
-    struct Flight
+    struct InFlightOrder
     {
         Address endpoint;
         endpoint::Order order;
-        std::uint64_t begun = 0; ///< Aborts before it.
-        Incarnation incarnation; ///< Of the engine at the other end of the connection.
+        std::uint64_t abortsAtStart = 0; ///< Aborts before it.
+        Incarnation incarnation;         ///< Of the engine at the other end of the connection.
         std::function<void(endpoint::OrderReply)> answer;
     };
-    auto start(const std::shared_ptr<Flight> &flight, const std::function<bool()> &mayStart)
+    auto start(const std::shared_ptr<InFlightOrder> &flight, const std::function<bool()> &mayStart)
             -> void;
-    auto leaveKernel(const std::shared_ptr<Flight> &flight) -> void;
-    auto arrive(const std::shared_ptr<Flight> &flight) -> void;
+    auto transmit(const std::shared_ptr<InFlightOrder> &flight) -> void;
+    auto arrive(const std::shared_ptr<InFlightOrder> &flight) -> void;
 
     /// Runs on this control now, or when it is resumed; never after a crash.
-    auto enter(std::function<void()> work) -> void;
-    auto tickLater() -> void;
+    auto runOrDefer(std::function<void()> work) -> void;
+    auto scheduleTick() -> void;
 
     Simulation &simulation;
     coord::Member self;
     MemoryLogStore store;
     std::unique_ptr<Control> control; ///< Empty while crashed.
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     bool paused = false;
-    std::vector<std::function<void()>> held; ///< Work that waits for the resume.
-    std::uint64_t aborts = 0;                ///< Orders begun before the last abort are dropped.
+    std::vector<std::function<void()>> deferred; ///< Work that waits for the resume.
+    std::uint64_t aborts = 0; ///< Orders begun before the last abort are dropped.
     /// Called right before an order's first byte; may crash or pause this control.
     std::function<void()> beforeSend;
     std::map<NodeId, std::shared_ptr<FakePeer>> peers; ///< Connections into this control.
@@ -163,7 +163,7 @@
     std::size_t routers = 2;
     bool checksFence = false;
     Duration loadTime = milliseconds { 400 };
-    Duration longestTransit = milliseconds { 3 }; ///< Of an order on the wire.
+    Duration maxTransit = milliseconds { 3 }; ///< Of an order on the wire.
     std::size_t snapshotEvery = 10000;
 };
 
@@ -177,7 +177,7 @@
     auto run(Duration time) -> void;
     /// Runs until a condition holds. @return false when it did not within the time
     auto runUntil(const std::function<bool()> &condition, Duration atMost) -> bool;
-    auto later(Duration delay, std::function<void()> work) -> void;
+    auto schedule(Duration delay, std::function<void()> work) -> void;
 
     /// @return the control that leads under its lease, or nullptr
     auto leader() -> SimControl *;
@@ -204,9 +204,9 @@
     Random random;
     std::vector<std::unique_ptr<SimControl>> controls;
     std::vector<FakeEngine> engines;
-    std::set<NodeId> isolated;         ///< Cut off from controls and routers.
-    std::uint64_t undecidedLoads = 0;  ///< Loads that no committed intent stands behind.
-    std::uint64_t overcommitments = 0; ///< Loads that did not fit the engine's memory.
+    std::set<NodeId> isolated;            ///< Cut off from controls and routers.
+    std::uint64_t loadsWithoutIntent = 0; ///< Loads that no committed intent stands behind.
+    std::uint64_t overcommitments = 0;    ///< Loads that did not fit the engine's memory.
     std::uint64_t ordersDelivered = 0;
     std::function<void()> afterEvent; ///< Checks of a test.
 
@@ -219,7 +219,7 @@
     std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
     std::uint64_t nextEvent_ = 0;
     std::map<std::string, std::uint32_t> demand_;
-    std::set<std::string> arrived_; ///< Models whose wish is new and not yet reported.
+    std::set<std::string> newDemand_; ///< Models whose wish is new and not yet reported.
     std::uint64_t demandSequence_ = 0;
     std::uint64_t routerRound_ = 0;
 };
--- a/control/testing/tst_control.cpp
+++ b/control/testing/tst_control.cpp
@@ -50,7 +50,7 @@
 
 auto checkPromises(const Simulation &sim) -> void
 {
-    CHECK(sim.undecidedLoads == 0);
+    CHECK(sim.loadsWithoutIntent == 0);
     CHECK(sim.overcommitments == 0);
 }
 
@@ -279,7 +279,7 @@
 {
     auto options = SimulationOptions {};
     options.engines = 1;
-    options.longestTransit = milliseconds { 1900 };
+    options.maxTransit = milliseconds { 1900 };
     for (auto seed = std::uint64_t { 1 }; seed <= 10; ++seed) {
         CAPTURE(seed);
         auto sim = Simulation { seed, 3, options };
@@ -304,7 +304,7 @@
 {
     auto options = SimulationOptions {};
     options.engines = 1;
-    options.longestTransit = milliseconds { 1900 }; // Just below the doubt time of 2 s.
+    options.maxTransit = milliseconds { 1900 }; // Just below the doubt time of 2 s.
     for (auto seed = std::uint64_t { 1 }; seed <= 20; ++seed) {
         CAPTURE(seed);
         auto sim = Simulation { seed, 3, options };
--- a/control/testing/tst_faults.cpp
+++ b/control/testing/tst_faults.cpp
@@ -100,14 +100,14 @@
     case 1:
         if (auto &control = someControl(); control.control && !control.paused) {
             control.pause();
-            sim_.later(milliseconds { 200 + random_.below(6000) },
-                       [&control] { control.resume(); });
+            sim_.schedule(milliseconds { 200 + random_.below(6000) },
+                          [&control] { control.resume(); });
             ++faults_;
         }
         return;
     case 2:
         sim_.isolate(someControl().self.node);
-        sim_.later(milliseconds { 200 + random_.below(6000) }, [this] { sim_.heal(); });
+        sim_.schedule(milliseconds { 200 + random_.below(6000) }, [this] { sim_.heal(); });
         ++faults_;
         return;
     case 3:
@@ -117,7 +117,7 @@
     case 4: {
         auto &engine = sim_.engines[random_.below(sim_.engines.size())];
         engine.up = false;
-        sim_.later(milliseconds { 500 + random_.below(5000) }, [&engine] { engine.up = true; });
+        sim_.schedule(milliseconds { 500 + random_.below(5000) }, [&engine] { engine.up = true; });
         ++faults_;
         return;
     }
@@ -145,7 +145,7 @@
 
 auto FaultRun::restartLater(SimControl &control) -> void
 {
-    sim_.later(milliseconds { 100 + random_.below(5000) }, [&control] {
+    sim_.schedule(milliseconds { 100 + random_.below(5000) }, [&control] {
         if (!control.control)
             control.start();
     });
@@ -166,8 +166,8 @@
         && sim_.leader() != nullptr)
         CHECK(now >= revision_);
     revision_ = std::max(revision_, now);
-    if (sim_.undecidedLoads + sim_.overcommitments > 0) {
-        CHECK(sim_.undecidedLoads == 0);
+    if (sim_.loadsWithoutIntent + sim_.overcommitments > 0) {
+        CHECK(sim_.loadsWithoutIntent == 0);
         CHECK(sim_.overcommitments == 0);
     }
 }
@@ -208,7 +208,7 @@
         auto options = SimulationOptions {};
         options.engines = 3;
         options.checksFence = checksFence;
-        options.longestTransit = milliseconds { 1500 };
+        options.maxTransit = milliseconds { 1500 };
         options.snapshotEvery = 200;
         auto run = FaultRun { seed, options };
         run.run(40);
--- a/control/testing/tst_ordermachine.cpp
+++ b/control/testing/tst_ordermachine.cpp
@@ -64,7 +64,7 @@
                               OrderReply::Unknown }) {
         auto machine = OrderMachine { OrderAction::Load, options, true };
         machine.onAnswer(reply, at(1));
-        CHECK(machine.phase() == OrderPhase::Doubtful);
+        CHECK(machine.phase() == OrderPhase::InDoubt);
         CHECK_FALSE(machine.result().has_value());
     }
 }
@@ -105,9 +105,9 @@
 TEST_CASE("a doubt begun anew waits anew")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
-    machine.onDoubt(at(0));
+    machine.markInDoubt(at(0));
     machine.onObservation(Observed::Absent, at(1));
-    machine.onDoubt(at(5));
+    machine.markInDoubt(at(5));
     machine.onObservation(Observed::Absent, at(12));
     CHECK_FALSE(machine.result().has_value());
     machine.onObservation(Observed::Absent, at(22));
