--- a/control/claims.cpp
+++ b/control/claims.cpp
@@ -1,6 +1,6 @@
-// The deadline in the log is the leader's wall time and only makes an abandoned claim
-// readable as unknown; what stops a paused router from dispatching late is the
-// router's own clock.
+// The deadline in the log is in the leader's wall time. Its only effect is that an abandoned claim
+// can be read as unknown once the deadline has passed. A paused router is kept from dispatching
+// late by its own clock.
 
 #include "control/claims.h"
 
@@ -96,7 +96,7 @@
     auto command = end.end;
     command.at = clock_.wallNow().time_since_epoch().count();
     if (command.answer.size() > state::maxStoredAnswerBytes)
-        command.answer.resize(state::maxStoredAnswerBytes + 1); // Over the bound: not stored.
+        command.answer.resize(state::maxStoredAnswerBytes + 1); // Over the limit: not stored.
     node_.propose(command, [this, caller](const absl::StatusOr<AppliedCommand> &result) {
         if (!result.ok())
             caller.fail(result.status(), node_.status().leader);
--- a/control/claims.h
+++ b/control/claims.h
@@ -1,12 +1,12 @@
-// Claims for requests that may not be repeated, on the leader.
+// Claims grants and ends claims for requests that must not be repeated. It runs on the leader.
 //
-// A claim is a command in the log; what the tables then say is the verdict, so
-// that of all requests with one key, at any router and through any change of
-// leader, one is granted. A key whose outcome is stored is answered from the
-// tables without a log entry, under the leader's lease.
+// A claim is a command in the log, and the verdict is read from the tables after the command
+// was applied. Of all requests with one key, at any router and across changes of leader, only
+// one is therefore granted. If the outcome of a key is stored already, the leader answers from
+// the tables under its lease, without a log entry.
 //
-// Many claims make one sync: the node writes all that was proposed in one turn
-// of the event loop together.
+// Many claims share one sync: the node writes all commands proposed in one turn of the event
+// loop together.
 
 #ifndef FIGRACK_CONTROL_CLAIMS_H
 #define FIGRACK_CONTROL_CLAIMS_H
@@ -18,7 +18,8 @@
 
 struct ClaimsOptions
 {
-    Duration keepFor = std::chrono::hours { 24 }; ///< Outcomes; then a key may be claimed anew.
+    /// How long outcomes are kept; after that a key may be claimed again.
+    Duration keepFor = std::chrono::hours { 24 };
     Duration expireEvery = std::chrono::seconds { 10 };
     Duration maxWait = std::chrono::minutes { 10 }; ///< Longest time a router may ask for.
 };
@@ -26,12 +27,12 @@
 class Claims
 {
 public:
-    /// @param clock,node outlive this
+    /// @param clock,node must outlive this object
     Claims(ClaimsOptions options, const Clock &clock, Node &node);
 
     auto onRequest(const Caller &caller, const proto::ClaimRequest &request) -> void;
     auto onEnd(const Caller &caller, const proto::ClaimEnd &end) -> void;
-    /// Lets claims expire; call it on the leader.
+    /// Proposes the expiry of old claims. Call it on the leader only.
     auto tick() -> void;
 
 private:
@@ -41,10 +42,10 @@
     Instant nextExpiry_;
 };
 
-/// @param status what applying the TakeClaim gave
-/// @param row the claim that stands, or nullptr
-/// @param mine the claim asked for
-/// @return the verdict that the router is told
+/// @param status result of applying the TakeClaim command
+/// @param row the claim that the tables now hold for the key, or nullptr
+/// @param requested the requested claim
+/// @return the reply with the verdict for the router
 auto claimReply(const absl::Status &status, const state::ClaimRow *row,
                 const state::TakeClaim &requested) -> proto::ClaimReply;
 
--- a/control/configjson.cpp
+++ b/control/configjson.cpp
@@ -1,5 +1,5 @@
-// A Fields object reads one JSON object: each getter takes a field, the first fault is kept,
-// and finish() finds what was not taken.
+// A Fields object reads one JSON object. Each getter reads one field, the first error is kept,
+// and finish() reports fields that no getter has read.
 
 #include "control/configjson.h"
 
@@ -166,7 +166,7 @@
     return state::PutService { spec };
 }
 
-/// One row for each operation: the field that names it and how it is read.
+/// One row per operation: the field that names it and the function that reads it.
 struct OperationRow
 {
     std::string_view field;
--- a/control/control.cpp
+++ b/control/control.cpp
@@ -1,6 +1,6 @@
 // Leading begins when the lease of a term is first held and ends with the term or the role.
-// A lease that lapses and is renewed within a term aborts the orders under way, which leaves
-// them in doubt, and changes nothing else.
+// If the lease lapses and is renewed within a term, the orders in flight are aborted, which
+// leaves them in doubt; nothing else changes.
 
 #include "control/control.h"
 
@@ -104,7 +104,7 @@
 
 auto Control::onApplied(const AppliedCommand &applied) -> void
 {
-    // What is applied may already be of a term that is over.
+    // The applied command may belong to a term that has already ended.
     checkLeadership();
     routers_.onApplied(applied);
     endpoints_.onApplied(applied);
@@ -112,7 +112,7 @@
     scheduler_.onApplied(applied);
 }
 
-// --- the inner protocol ---
+// --- the internal protocol ---
 
 auto Control::onOpen(const proto::PeerPointer &peer) -> void
 {
@@ -217,7 +217,7 @@
         (void)peer->send({ 0, digest });
 }
 
-// --- the operator's calls ---
+// --- operator calls ---
 
 auto Control::changeConfiguration(const state::ConfigChange &change, const ChangeDone &done) -> void
 {
--- a/control/control.h
+++ b/control/control.h
@@ -1,17 +1,18 @@
-// The control process without its sockets: replica, feed, routers, endpoints, claims, orders.
+// Control is the control process without its sockets: the replica, the feed, and the parts
+// that manage routers, endpoints, claims, orders, scheduling and reports.
 //
 //   auto control = Control { options, clock, transport, store, random, port, defer };
 //   if (auto status = control.start(); !status.ok()) return status;
-//   control.tick();                              // every options.node.replica.tick
-//   control.onMessage(peer, envelope);           // of the inner protocol
-//   control.changeConfiguration(change, done);   // the operator's calls
+//   control.tick();                              // Every options.node.replica.tick.
+//   control.onMessage(peer, envelope);           // A message of the internal protocol.
+//   control.changeConfiguration(change, done);   // Operator calls.
 //
-// The world is behind the constructor's arguments, so that whole groups of
-// controls run in virtual time. Not thread-safe: one strand.
+// All I/O goes through the constructor's arguments, so that tests can run whole groups of
+// controls in virtual time. The class is not thread-safe: use it on one strand.
 //
-// Guarantees: what only a leader may do is done only while its lease holds;
-// every request of the inner protocol is answered, NotLeader naming the leader
-// where this control is not it.
+// Guarantees: actions reserved for the leader are only taken while its lease is valid. Every
+// request of the internal protocol is answered; a control that is not the leader answers
+// NotLeader and names the leader.
 
 #ifndef FIGRACK_CONTROL_CONTROL_H
 #define FIGRACK_CONTROL_CONTROL_H
@@ -49,10 +50,10 @@
 {
 public:
     using Done = std::function<void(const absl::Status &)>;
-    /// With the revision that the change made or lost against.
+    /// Called with the revision that the change created or conflicted with.
     using ChangeDone = std::function<void(const absl::Status &, Revision)>;
 
-    /// @param clock,transport,store,random,port outlive the control
+    /// @param clock,transport,store,random,port must outlive the control
     Control(ControlOptions options, const Clock &clock, coord::Transport &transport,
             coord::LogStore &store, Random &random, OrderPort &port, Defer defer);
 
@@ -63,8 +64,9 @@
     auto onClose(const proto::PeerPointer &peer) -> void;
     auto onMessage(const proto::PeerPointer &peer, proto::Envelope envelope) -> void;
 
-    /// Calls back once the change is in force everywhere, or with what it lost against.
-    /// OutcomeUnknown: leadership was lost on the way; resend it with the same id.
+    /// Calls back once the change is in force everywhere, or with the conflicting revision.
+    /// OutcomeUnknown means that leadership was lost before the outcome was known; resend the
+    /// change with the same id.
     auto changeConfiguration(const state::ConfigChange &change, const ChangeDone &done) -> void;
     auto drainEndpoint(const EndpointId &endpoint, bool draining, const Done &done) -> void;
     auto drainRouter(const NodeId &router, bool draining, const Done &done) -> void;
@@ -73,7 +75,8 @@
     auto removeMember(const NodeId &node, const Done &done) -> void;
     auto transfer() -> absl::Status { return node_.transferLeadership(); }
 
-    /// Calls back with the burn report over a window, after asking the routers.
+    /// Requests current counts from the routers, then calls back with the burn report over a
+    /// window.
     auto makeReport(Duration window, report::ReportFormat format,
                     std::function<void(std::string)> done) -> void;
 
@@ -83,7 +86,7 @@
     auto feed() const -> const Feed & { return feed_; }
     auto orders() const -> const Orders & { return orders_; }
     auto scheduler() const -> const Scheduler & { return scheduler_; }
-    /// @return connections that are not from controls
+    /// @return the connections that do not come from controls
     auto routerPeers() const -> std::vector<proto::PeerPointer>;
 
 private:
@@ -110,7 +113,7 @@
     Reports reports_;
     std::map<const proto::PeerConnection *, proto::PeerPointer> peers_;
     std::optional<Term> leadingTerm_;
-    bool leaseHeld_ = false; ///< At the last look, while leading.
+    bool leaseHeld_ = false; ///< At the last check, while leading.
     Instant nextDigestAt_;
 };
 
--- a/control/demand.cpp
+++ b/control/demand.cpp
@@ -1,5 +1,5 @@
-// Rows are kept by cell and then router, so that a sum looks at the routers that want
-// that model and at no other.
+// Rows are stored by cell and then by router, so that a sum only visits the routers that report
+// demand for the cell.
 
 #include "control/demand.h"
 
--- a/control/demand.h
+++ b/control/demand.h
@@ -1,16 +1,16 @@
-// What waits for each model and class, summed over all routers.
+// Demand sums the waiting and running requests for each model and class over all routers.
 //
-//   auto changed = demand.onReport(report);       // cells to pass to the planner
-//   demand.sum(cell);
+//   auto changed = demand.onReport(report);       // Cells to pass to the planner.
+//   demand.sum(cell, now);
 //   for (const auto &cell : demand.dropStale()) ...
 //
-// A burst at many routers at once is one demand here, which is why it makes one
-// decided load and not one a router.
+// A burst that reaches many routers at once is a single demand here, so the planner decides one
+// load for it instead of one load per router.
 //
-// Guarantees: a router's report replaces its former one whole; reports of an
-// older sequence or life are ignored; a router that stops reporting stops
-// counting after staleAfter. Memory follows the rows of the routers' last
-// reports, each bounded by maxRows.
+// Guarantees: a router's report replaces its previous report completely. Reports with an older
+// sequence number of the same incarnation are ignored. A router that has not reported for
+// staleAfter is no longer counted. Memory is proportional to the rows of the routers' last
+// reports, each limited to maxRows.
 
 #ifndef FIGRACK_CONTROL_DEMAND_H
 #define FIGRACK_CONTROL_DEMAND_H
@@ -29,10 +29,10 @@
 struct DemandOptions
 {
     Duration staleAfter = std::chrono::seconds { 3 };
-    std::size_t maxRows = 10000; ///< A report's; the rest is ignored.
+    std::size_t maxRows = 10000; ///< Per report; further rows are ignored.
 };
 
-/// One model in one class.
+/// A model and a class.
 struct DemandCell
 {
     ModelId model;
@@ -43,7 +43,7 @@
     }
 };
 
-/// New arrivals that a report told of.
+/// New requests listed in a report.
 struct Arrivals
 {
     DemandCell cell;
@@ -52,7 +52,7 @@
 
 struct DemandChange
 {
-    std::set<DemandCell> cells; ///< Whose sum may have changed.
+    std::set<DemandCell> cells; ///< Cells whose sum may have changed.
     std::vector<Arrivals> arrivals;
 };
 
@@ -62,13 +62,14 @@
     Demand(DemandOptions options, const Clock &clock);
 
     auto onReport(const proto::DemandReport &report) -> DemandChange;
-    /// @return the cells of routers that fell silent
+    /// Removes routers that stopped reporting.
+    /// @return the cells whose sum may have changed
     auto dropStale() -> std::set<DemandCell>;
-    /// @param now the planner's time, ms
-    /// @return the sum over all routers; zero counts when nobody wants it
+    /// @param now the planner's time in milliseconds
+    /// @return the sum over all routers; all counts are 0 if no router reports the cell
     auto sum(const DemandCell &cell, policy::Millis now) const -> policy::DemandInfo;
     auto clear() -> void;
-    /// @return requests that wait, over all cells
+    /// @return number of waiting requests over all cells
     auto queued() const -> std::uint64_t;
 
 private:
--- a/control/endpoints.cpp
+++ b/control/endpoints.cpp
@@ -1,6 +1,7 @@
-// A report that differs from the registration makes the leader propose the difference:
-// a whole registration, or only the draining flag. The detector says who is alive; its
-// suspicions and recoveries become commands, so that all routers agree on whom to use.
+// If a report differs from the registration, the leader proposes the difference: a whole
+// registration, or only the draining flag. The failure detector decides which endpoints are
+// alive. Its suspicions and recoveries become commands, so that all routers use the same set of
+// endpoints.
 
 #include "control/endpoints.h"
 
@@ -112,7 +113,8 @@
     silentSince_.clear();
 }
 
-// Nobody is held silent for a time in which this control was not listening.
+// Restarts the detector, so that time in which this control was not listening does not count
+// as silence of an endpoint.
 auto Endpoints::expectAll() -> void
 {
     detector_.emplace(options_.detector, clock_);
@@ -197,7 +199,7 @@
         if (found == rows.end() || now - since < options_.forgetAfter
             || detector_->isDomainSuspected(found->second.spec.domain))
             continue;
-        since = now; // Proposed again after a while if this one is lost.
+        since = now; // If this proposal is lost, it is repeated after forgetAfter.
         LogEvent(LogLevel::Warning, "endpoint_forgotten").with("endpoint", id);
         node_.propose(state::ForgetEndpoint { id, found->second.spec.incarnation },
                       [](const absl::StatusOr<AppliedCommand> &) {});
--- a/control/endpoints.h
+++ b/control/endpoints.h
@@ -1,19 +1,18 @@
-// What endpoints say of themselves: registration, liveness, load.
+// Endpoints tracks the reports of all endpoints: registration, liveness and load.
 //
-// Routers pass announcements on to every control, so that a new leader knows
-// the endpoints at once. The leader turns what must be agreed upon into
-// commands: registration of a new life, suspicion, draining, being forgotten.
-// The rest is soft: the last report of each endpoint, and from it the digest of
-// loads that goes to all routers.
+// Routers forward announcements to every control, so that a new leader knows the endpoints at
+// once. The leader proposes commands for the state that must be agreed upon: registrations of
+// new incarnations, suspicion, draining and removal. All other state is kept in memory only:
+// the last report of each endpoint, from which the leader builds the load digest that it sends
+// to all routers.
 //
-// When a failure domain falls silent as one (coord/failuredetector.h), its
-// endpoints are suspected in one batch and none of them is forgotten while the
-// domain is lost: what they held is neither moved nor decided anew for their
-// sake, only for the demand there is.
+// When a whole failure domain falls silent (coord/failuredetector.h), its endpoints are
+// suspected in one batch, and none of them is removed while the domain is lost. Their replicas
+// are neither moved nor replaced because of the loss; new loads are decided only by demand.
 //
-// Guarantees: one report an endpoint is kept; a report of an earlier life or
-// with an older sequence is ignored; an announcement that is refused costs one
-// log entry and is not proposed again before retryAfter.
+// Guarantees: one report per endpoint is kept. A report of an earlier incarnation or with an
+// older sequence number is ignored. A rejected announcement costs one log entry and is not
+// proposed again before retryAfter.
 
 #ifndef FIGRACK_CONTROL_ENDPOINTS_H
 #define FIGRACK_CONTROL_ENDPOINTS_H
@@ -32,15 +31,16 @@
 struct EndpointsOptions
 {
     coord::FailureDetectorOptions detector;
-    Duration forgetAfter = std::chrono::minutes { 15 }; ///< Of silence, then its replicas go.
-    Duration retryAfter = std::chrono::seconds { 2 };   ///< Between proposals for one endpoint.
+    /// An endpoint that is silent for this long is removed with its replicas.
+    Duration forgetAfter = std::chrono::minutes { 15 };
+    Duration retryAfter = std::chrono::seconds { 2 }; ///< Pause between its proposals.
     std::size_t maxEndpoints = 20000;
 };
 
 class Endpoints
 {
 public:
-    /// @param clock,node outlive this
+    /// @param clock,node must outlive this object
     Endpoints(EndpointsOptions options, const Clock &clock, Node &node);
 
     auto onReport(const proto::EndpointReport &report) -> void;
@@ -48,16 +48,16 @@
     auto onNotLeading() -> void;
     auto onApplied(const AppliedCommand &applied) -> void;
     auto onRestored() -> void;
-    /// Suspects, recovers and forgets, when leading.
+    /// Proposes suspicions, recoveries and removals while leading.
     auto tick() -> void;
 
-    /// @return the last report of the endpoint's registered life, or nullptr
+    /// @return the last report of the endpoint's registered incarnation, or nullptr
     auto report(const EndpointId &endpoint) const -> const proto::EndpointReport *;
     /// @return the rows that changed since the last call
     auto takeDigest() -> proto::LoadDigest;
-    /// @return every row, for a router that has just connected
+    /// @return all rows, for a router that has just connected
     auto fullDigest() const -> proto::LoadDigest;
-    /// Called with each report that was taken.
+    /// Sets the listener that is called with each accepted report.
     auto setOnReport(std::function<void(const proto::EndpointReport &)> listener) -> void;
 
 private:
@@ -81,10 +81,11 @@
     EndpointsOptions options_;
     const Clock &clock_;
     Node &node_;
-    std::optional<coord::FailureDetector> detector_; ///< Never empty; made anew on leading.
+    /// Never empty; recreated when leading begins.
+    std::optional<coord::FailureDetector> detector_;
     std::map<EndpointId, Row> rows_;
-    std::map<EndpointId, Instant> silentSince_; ///< Suspected in the tables; while leading.
-    std::set<EndpointId> changed_;              ///< For the next digest.
+    std::map<EndpointId, Instant> silentSince_; ///< Suspected endpoints, while leading.
+    std::set<EndpointId> changed_;              ///< Rows for the next digest.
     std::function<void(const proto::EndpointReport &)> onReport_;
     bool leads_ = false;
 };
--- a/control/feed.cpp
+++ b/control/feed.cpp
@@ -1,4 +1,4 @@
-// Most routers stand at the same index, so one pump makes one batch and copies it.
+// Most routers need the same next index, so one pump() builds each batch once and copies it.
 
 #include "control/feed.h"
 
@@ -50,7 +50,7 @@
     }
 }
 
-// A connection without room keeps its place and is tried again at the next pump.
+// If a connection has no room, the subscriber keeps its next index and the next pump retries.
 auto Feed::pumpOne(Subscriber &subscriber, const coord::ReplicaStatus &status, BatchCache &cache)
         -> void
 {
@@ -87,7 +87,7 @@
     return batch;
 }
 
-// Returns false when the log no longer goes back so far.
+// Returns false if the log no longer contains the entry at `from`.
 auto Feed::addEntries(LogIndex from, LogIndex to, proto::FeedBatch &batch) const -> bool
 {
     const auto count = to.value() - from.value() + 1;
--- a/control/feed.h
+++ b/control/feed.h
@@ -1,17 +1,17 @@
-// Serves the committed commands to routers; every control does.
+// Feed sends the committed commands to routers. Every control runs one.
 //
-//   auto feed = Feed { node, options };
-//   feed.onRequest(peer, correlation, request);     // first answer, then pushes
-//   feed.pump();                                    // after entries were applied
+//   auto feed = Feed { options, node };
+//   feed.onRequest(peer, correlation, request);     // Sends the first answer, then pushes.
+//   feed.pump();                                    // Call it after entries were applied.
 //   feed.onClose(peer);
 //
-// A subscriber is a connection and the next index it needs, nothing else: a
-// batch is made from the replica's log when there is room on the connection, so
-// a slow router costs no memory and a router far behind gets a snapshot.
+// The state of a subscriber is its connection, the next index that it needs and the last leader
+// it was told. A batch is read from the replica's log when the connection has room, so a slow
+// router uses no memory here, and a router that is far behind gets a snapshot.
 //
-// Guarantees: batches to one router are contiguous and in order; entries that
-// routers need not see are left out and upTo passes over them; every batch
-// names the leader as this control knows it.
+// Guarantees: batches to one router are contiguous and in order. Entries that routers do not
+// need are left out, and upTo covers them. Every batch names the leader that this control
+// knows.
 
 #ifndef FIGRACK_CONTROL_FEED_H
 #define FIGRACK_CONTROL_FEED_H
@@ -29,7 +29,7 @@
 struct FeedOptions
 {
     std::size_t maxBatchEntries = 512;
-    std::size_t maxEntriesBehind = 2000; ///< Past it a snapshot is sent in their place.
+    std::size_t maxEntriesBehind = 2000; ///< Beyond this a snapshot is sent instead.
     std::size_t maxSubscribers = 4096;
 };
 
@@ -38,13 +38,13 @@
 public:
     Feed(FeedOptions options, const Node &node);
 
-    /// Answers a subscription and serves the connection from then on.
+    /// Answers a subscription request and adds the connection to the subscribers.
     auto onRequest(const proto::PeerPointer &peer, std::uint64_t correlation,
                    const proto::FeedRequest &request) -> void;
     auto onClose(const proto::PeerPointer &peer) -> void;
-    /// Sends what is new to all who can take it.
+    /// Sends new entries to all subscribers whose connections have room.
     auto pump() -> void;
-    /// @return routers that read from this control
+    /// @return number of routers that subscribe to this control
     auto subscribers() const -> std::size_t { return subscribers_.size(); }
 
 private:
@@ -52,9 +52,9 @@
     {
         proto::PeerPointer peer;
         LogIndex next;
-        NodeId leader; ///< As it was told last.
+        NodeId leader; ///< The leader named in the last batch sent.
     };
-    /// Batches made in one pump, by the index they start at.
+    /// Batches built during one pump(), by their first index.
     using BatchCache = std::map<LogIndex, proto::FeedBatch>;
 
     auto pumpOne(Subscriber &subscriber, const coord::ReplicaStatus &status, BatchCache &cache)
--- a/control/httporderport.cpp
+++ b/control/httporderport.cpp
@@ -1,5 +1,5 @@
-// The coroutines run on the worker pool, so that a busy strand delays no connection's work
-// and abortAll() takes hold at once.
+// The coroutines run on the worker pool, so that a busy strand does not delay connections and
+// abortAll() takes effect at once.
 
 #include "control/httporderport.h"
 
--- a/control/httporderport.h
+++ b/control/httporderport.h
@@ -1,4 +1,5 @@
-// The order port over HTTP: endpoint::OrderSender, with its answers on the control's strand.
+// HttpOrderPort implements OrderPort over HTTP with endpoint::OrderSender. It delivers answers on
+// the control's strand.
 
 #ifndef FIGRACK_CONTROL_HTTPORDERPORT_H
 #define FIGRACK_CONTROL_HTTPORDERPORT_H
--- a/control/leaseview.h
+++ b/control/leaseview.h
@@ -1,10 +1,10 @@
-// The leader's lease as other threads may ask about it.
+// LeaseView lets other threads check whether the leader's lease is valid.
 //
-//   view.publish(term, replica.leaseEnd());      // the control strand
-//   if (view.holds(term, clock.now())) ...       // any thread, right before an order's first byte
+//   view.publish(term, replica.leaseEnd());      // On the control's strand.
+//   if (view.holds(term, clock.now())) ...       // On any thread, before an order's first byte.
 //
-// Guarantee: holds() is true only before the end of a lease that this process
-// held in that very term, less a margin for the time between asking and acting.
+// Guarantee: holds() returns true only before the end of a lease that this process held in the
+// same term, less a margin for the time between the check and the action.
 
 #ifndef FIGRACK_CONTROL_LEASEVIEW_H
 #define FIGRACK_CONTROL_LEASEVIEW_H
@@ -19,12 +19,12 @@
 class LeaseView
 {
 public:
-    /// @param margin by which holds() ends before the lease does
+    /// @param margin how long before the end of the lease holds() starts to return false
     explicit LeaseView(Duration margin)
         : margin_(margin)
     { }
 
-    /// @param term the term led; the default when not leading
+    /// @param term the term in which this control leads; Term {} when not leading
     /// @param end the lease's end on this process's clock
     auto publish(Term term, Instant end) -> void
     {
@@ -49,7 +49,7 @@
 
 private:
     Duration margin_;
-    mutable std::mutex mutex_; ///< A leaf in the lock order: nothing is locked under it.
+    mutable std::mutex mutex_; ///< Leaf in the lock order: no other lock is taken while it is held.
     Term term_;
     Instant end_;
 };
--- a/control/metrics.h
+++ b/control/metrics.h
@@ -1,7 +1,7 @@
-// The control's metrics, as the Prometheus text that /metrics serves.
+// The control's metrics in the Prometheus text format, as served by /metrics.
 //
-// Gauges are read from the control when the page is asked for: nothing is
-// counted on the way.
+// All values are read from the control when the page is requested; no separate counters are
+// kept.
 
 #ifndef FIGRACK_CONTROL_METRICS_H
 #define FIGRACK_CONTROL_METRICS_H
@@ -12,7 +12,8 @@
 
 namespace figrack::control {
 
-/// @param control on its strand
+/// Call it on the control's strand.
+/// @param control the control to read
 /// @return the page, Prometheus text format 0.0.4
 auto metricsText(const Control &control) -> std::string;
 
--- a/control/node.cpp
+++ b/control/node.cpp
@@ -1,11 +1,12 @@
-// The replica calls apply() from within tick(), receive() and flush(). What it applied
-// is queued and passed on by settle() once the replica has returned, so that a
-// listener may call the node again.
+// The replica calls apply() from within tick(), receive() and flush(). Applied commands are
+// queued and deliverApplied() passes them on after the replica has returned, so that a listener
+// may call the node again.
 //
-// View leases: a voter must hold back a router that has not applied a change which the
-// voter has stored. At storing, a change's revision is taken to be the one after what
-// it expects; at applying, the requirement becomes the revision that stands, so that a
-// change that lost holds nobody back. The wiring is that of coord/viewlease.h.
+// View leases: a voter must not grant a lease to a router that has not applied a change which
+// the voter has stored. When a change is stored, the required revision is the one after the
+// revision that the change expects. When it is applied, the required revision becomes the
+// actual revision of the tables, so that a change that lost a conflict blocks no router.
+// coord/viewlease.h describes the protocol.
 
 #include "control/node.h"
 
@@ -224,7 +225,8 @@
         proposal.done(makeError(ErrorKind::NotLeader, "another leader's entry took the place"));
 }
 
-// A proposal of a term that is over may yet be committed by the next leader.
+// Fails proposals of earlier terms and those past their deadline. Their outcome is unknown,
+// since the next leader may still commit them.
 auto Node::failLostProposals(const coord::ReplicaStatus &status) -> void
 {
     const auto leads = status.role == coord::Role::Leader;
--- a/control/operatorapi.cpp
+++ b/control/operatorapi.cpp
@@ -1,6 +1,6 @@
-// Each call is a row of a table. Its function runs on the control's strand and answers by
-// a callback, at once or when what it waits for has happened; the connection's coroutine
-// waits for that.
+// Each call is a row of a table. Its function runs on the control's strand and answers through a
+// callback, either immediately or when an awaited event has happened. The connection's coroutine
+// waits for that answer.
 
 #include "control/operatorapi.h"
 
@@ -65,7 +65,7 @@
     return fallback;
 }
 
-/// One form in which the burn report is given.
+/// One output format of the burn report.
 struct ReportForm
 {
     std::string_view name;
@@ -85,7 +85,7 @@
 {
     std::string_view method;
     std::string_view path;
-    std::string_view suffix; ///< Not empty: an id stands between path and suffix.
+    std::string_view suffix; ///< If not empty, an id is between path and suffix.
     bool open = false;       ///< Needs no token.
     void (OperatorApi::*run)(const http::Request &, const Answer &);
 
--- a/control/operatorapi.h
+++ b/control/operatorapi.h
@@ -1,15 +1,15 @@
-// What operators call: HTTP with JSON, as docs/API.md lists it.
+// OperatorApi serves the operators' HTTP calls with JSON bodies, listed in docs/API.md.
 //
-//   auto api = OperatorApi { control, strand, options, tokens };
+//   auto api = OperatorApi { control, strand, addresses, tokens };
 //   auto server = http::Server { context, options, [&api](const auto &request, auto &responder) {
 //       return api.handle(request, responder);
 //   } };
 //
-// Every call but /healthz, /readyz and /metrics wants a token. Calls that only the
-// leader can answer are redirected to it with 307.
+// Every call except /healthz, /readyz and /metrics requires a token. Calls that only the leader
+// can answer are redirected to it with status 307.
 //
-// Guarantees: a change is answered with 200 only once it is in force everywhere;
-// an answer that says ran=not_run means that nothing was changed.
+// Guarantees: a change is answered with 200 only once it is in force everywhere. An answer
+// with ran=not_run means that nothing was changed.
 
 #ifndef FIGRACK_CONTROL_OPERATORAPI_H
 #define FIGRACK_CONTROL_OPERATORAPI_H
@@ -34,8 +34,8 @@
 class OperatorApi
 {
 public:
-    /// @param control only touched on the strand; outlives this
-    /// @param addresses where operators reach each control
+    /// @param control only accessed on the strand; must outlive this object
+    /// @param addresses the address of each control for operators
     OperatorApi(Control &control, Strand strand, std::map<NodeId, Address> addresses,
                 std::shared_ptr<SecretFile> tokens);
 
@@ -43,7 +43,7 @@
             -> boost::asio::awaitable<void>;
 
 private:
-    /// Gives the one response to a request. May be called later, from the strand.
+    /// Sends the response to a request. Call it exactly once, now or later, on the strand.
     using Answer = std::function<void(http::Response)>;
     struct Route;
 
--- a/control/ordermachine.cpp
+++ b/control/ordermachine.cpp
@@ -1,10 +1,10 @@
-// A Boost.MSM machine. Its transition table is the page to read: one row a state and
-// event, guards for what the event must show.
+// A Boost.MSM state machine. The transition table has one row per state and event; the guards
+// check what the event shows.
 //
-// What an answer proves. Taken and Already: the order arrived, and so it cannot arrive
-// later. Refused and StaleFence: it arrived and was not carried out. NotSent: no byte
-// left. In all of these only an *earlier* order for the replica may still be under way.
-// Unknown proves nothing.
+// The answers prove the following. Taken and Already: the order arrived, so it cannot arrive
+// later. Refused and StaleFence: it arrived and was not carried out. NotSent: no byte was sent.
+// After each of these only an *earlier* order for the replica may still arrive. Unknown proves
+// nothing.
 
 #include "control/ordermachine.h"
 
@@ -68,7 +68,7 @@
             return event.reply == OrderReply::Taken || event.reply == OrderReply::Already;
         }
     };
-    /// Certainly not carried out, and no other order is under way.
+    /// The order was certainly not carried out, and no earlier order may still arrive.
     struct Declined
     {
         template<typename Event, typename Machine, typename Source, typename Target>
@@ -87,7 +87,7 @@
             return event.askedAt >= machine.validFrom;
         }
     };
-    /// Working: the observation shows the end of it.
+    /// In Working: the observation shows that the endpoint has finished the order.
     struct ShowsEnd
     {
         template<typename Event, typename Machine, typename Source, typename Target>
@@ -102,7 +102,7 @@
                     || (event.observed == Observed::Ready && waited);
         }
     };
-    /// Doubtful: a load shows that it has arrived but not yet ended.
+    /// In InDoubt: the observation shows that a load has arrived but not finished.
     struct ShowsArrival
     {
         template<typename Event, typename Machine, typename Source, typename Target>
@@ -112,7 +112,7 @@
                     && event.observed == Observed::Loading;
         }
     };
-    /// Doubtful: nothing can change any more what the observation shows.
+    /// In InDoubt: the observed state can no longer change because of this order.
     struct ResolvesDoubt
     {
         template<typename Event, typename Machine, typename Source, typename Target>
@@ -170,7 +170,7 @@
                 machine.result = present ? OrderResult::Refused : OrderResult::Unloaded;
         }
     };
-    /// Remembers since when the observations agree.
+    /// Records since when successive observations have agreed.
     struct TrackAgreement
     {
         template<typename Event, typename Machine, typename Source, typename Target>
@@ -189,21 +189,21 @@
     using Row = msm::front::Row<Source, Event, Target, Action, Guard>;
     using None = msm::front::none;
 
-    // Of rows for one state and event, the last whose guard holds is taken.
+    // If several rows match a state and event, the last row whose guard holds is taken.
     // clang-format off
     // NOLINTNEXTLINE(readability-identifier-naming): the name that Boost.MSM looks for.
     struct transition_table : boost::mpl::vector<
-        //  from      event     to        action       guard
-        Row<Sending,  Answered, InDoubt, ResetObservations,     None>,
-        Row<Sending,  Answered, Settled,  Decline,     Declined>,
-        Row<Sending,  Answered, Working,  ResetObservations,     Arrived>,
-        Row<Sending,  MarkedInDoubt,  InDoubt, ResetObservations,     None>,
-        Row<Working,  Observation,     Settled,  Settle,      ShowsEnd>,
-        Row<Working,  MarkedInDoubt,  InDoubt, ResetObservations,     None>,
-        Row<InDoubt, Observation,     None,     TrackAgreement,       IsNew>,
-        Row<InDoubt, Observation,     Working,  RecordArrival, ShowsArrival>,
-        Row<InDoubt, Observation,     Settled,  Settle,      ResolvesDoubt>,
-        Row<InDoubt, MarkedInDoubt,  InDoubt, ResetObservations,     None>
+        //  from      event          to        action             guard
+        Row<Sending,  Answered,      InDoubt,  ResetObservations, None>,
+        Row<Sending,  Answered,      Settled,  Decline,           Declined>,
+        Row<Sending,  Answered,      Working,  ResetObservations, Arrived>,
+        Row<Sending,  MarkedInDoubt, InDoubt,  ResetObservations, None>,
+        Row<Working,  Observation,   Settled,  Settle,            ShowsEnd>,
+        Row<Working,  MarkedInDoubt, InDoubt,  ResetObservations, None>,
+        Row<InDoubt,  Observation,   None,     TrackAgreement,    IsNew>,
+        Row<InDoubt,  Observation,   Working,  RecordArrival,     ShowsArrival>,
+        Row<InDoubt,  Observation,   Settled,  Settle,            ResolvesDoubt>,
+        Row<InDoubt,  MarkedInDoubt, InDoubt,  ResetObservations, None>
     > { };
     // clang-format on
 
@@ -214,7 +214,7 @@
     OrderAction action = OrderAction::Load;
     OrderMachineOptions options;
     bool earlierInFlight = false;
-    Instant validFrom; ///< Observations asked for before it say nothing.
+    Instant validFrom; ///< Observations requested before this time are ignored.
     std::optional<Instant> unchangedSince;
     std::optional<Observed> unchangedValue;
     std::optional<OrderResult> result;
@@ -274,7 +274,7 @@
 
 auto OrderMachine::phase() const -> OrderPhase
 {
-    // The back end numbers states in the order in which the table names them.
+    // The back end numbers the states in the order of their first use in the table.
     constexpr auto order = std::array { OrderPhase::Sending, OrderPhase::Working,
                                         OrderPhase::InDoubt, OrderPhase::Settled };
     return order[static_cast<std::size_t>(impl_->machine.current_state()[0])];
--- a/control/ordermachine.h
+++ b/control/ordermachine.h
@@ -1,20 +1,21 @@
-// The life of one order to one endpoint, from its sending to what settles it.
+// OrderMachine is the state machine of one order to one endpoint, from sending to settlement.
 //
-//   auto machine = OrderMachine { state::OrderAction::Load, options, clock.now() };
+//   auto machine = OrderMachine { state::OrderAction::Load, options };
 //   machine.onAnswer(endpoint::OrderReply::Taken, now);
 //   machine.onObservation(Observed::Ready, askedAt);
-//   if (auto result = machine.result()) ...            // propose it as the outcome
+//   if (auto result = machine.result()) ...            // Propose it as the outcome.
 //
-// Sending until the endpoint answered; Working while it carries the order out;
-// Doubtful while nobody knows whether the order arrived or still may. Only an
-// observation that was asked for after the last such change counts, since an
-// older one may be a picture of the time before the order.
+// An order is in phase Sending until the endpoint answers, in Working while the endpoint
+// carries it out, and in InDoubt while it is unknown whether the order arrived or may still
+// arrive. The machine ignores observations that were requested before the last phase change,
+// since they may show the state before the order.
 //
-// In doubt, presence proves that a load arrived. Absence proves nothing until the
-// order can no longer be under way: options.doubt after the doubt began, and so
-// long after the first absence was seen. docs/design/orders.md has the argument.
+// In doubt, the presence of the model proves that a load arrived. Its absence proves nothing
+// until the order can no longer be in transit. This is the case once observations requested
+// over a span of options.maxOrderDelay, all of them after the doubt began, have shown the
+// model absent. docs/design/orders.md contains the proof.
 //
-// Pure: no I/O, no clock; times are the caller's.
+// The class performs no I/O and reads no clock; callers pass all times.
 
 #ifndef FIGRACK_CONTROL_ORDERMACHINE_H
 #define FIGRACK_CONTROL_ORDERMACHINE_H
@@ -30,7 +31,7 @@
 
 namespace figrack::control {
 
-/// A model on an endpoint, as an observation shows it.
+/// State of a model on an endpoint, according to an observation.
 enum class Observed : std::uint8_t { Absent, Loading, Ready, Unloading };
 
 enum class OrderPhase : std::uint8_t { Sending, Working, InDoubt, Settled };
@@ -40,34 +41,34 @@
 
 struct OrderMachineOptions
 {
-    /// How long an order whose connection was aborted may still arrive.
+    /// Longest time for which an order may still arrive after its connection was aborted.
     Duration maxOrderDelay = std::chrono::seconds { 10 };
-    /// An unload that was taken and shows no effect for so long counts as refused.
+    /// An accepted unload that has no effect for this long counts as refused.
     Duration unloadTimeout = std::chrono::seconds { 30 };
 };
 
 class OrderMachine
 {
 public:
-    /// @param action what is ordered
-    /// @param options the times
-    /// @param earlier an order before this one for the same replica may still be under way
+    /// @param action the ordered action
+    /// @param options the time limits
+    /// @param earlierInFlight true if an earlier order for the same replica may still arrive
     OrderMachine(state::OrderAction action, OrderMachineOptions options,
                  bool earlierInFlight = false);
     ~OrderMachine();
     OrderMachine(OrderMachine &&) noexcept;
     auto operator=(OrderMachine &&) noexcept -> OrderMachine &;
 
-    /// The sender is done with the order.
+    /// Takes the result of sending the order.
     auto onAnswer(endpoint::OrderReply reply, Instant now) -> void;
-    /// Nobody here knows the order's fate: its sender is gone, or its endpoint has restarted.
+    /// Puts the order in doubt: its sender no longer exists, or its endpoint has restarted.
     auto markInDoubt(Instant now) -> void;
-    /// @param observed the model there
-    /// @param askedAt when the observation was asked for
+    /// @param observed the state of the model on the endpoint
+    /// @param askedAt when the observation was requested
     auto onObservation(Observed observed, Instant askedAt) -> void;
 
     auto phase() const -> OrderPhase;
-    /// @return what settles the order, once known
+    /// @return the outcome of the order, or nullopt while it is not settled
     auto result() const -> std::optional<state::OrderResult>;
 
 private:
--- a/control/orderport.h
+++ b/control/orderport.h
@@ -1,4 +1,5 @@
-// How the leader reaches endpoints: the boundary that tests put a fake at.
+// OrderPort is the interface through which the leader reaches endpoints. Tests replace it with a
+// fake.
 
 #ifndef FIGRACK_CONTROL_ORDERPORT_H
 #define FIGRACK_CONTROL_ORDERPORT_H
@@ -13,7 +14,8 @@
 
 namespace figrack::control {
 
-/// Sends orders and asks for states. Callbacks come on the control's strand, once each.
+/// Sends orders and requests endpoint states. Each callback runs exactly once, on the control's
+/// strand.
 class OrderPort
 {
 public:
@@ -21,7 +23,8 @@
     using StatusDone = std::function<void(const absl::StatusOr<proto::EndpointReport> &)>;
 
     virtual ~OrderPort() = default;
-    /// @param mayStart asked right before the first byte, on any thread
+    /// @param mayStart called on any thread right before the first byte is sent; if it returns
+    ///        false, the order is not sent
     virtual auto send(const Address &endpoint, const endpoint::Order &order,
                       std::function<bool()> mayStart, OrderDone done) -> void
             = 0;
--- a/control/orders.cpp
+++ b/control/orders.cpp
@@ -1,6 +1,6 @@
-// Every decision here is made on the strand; the port's callbacks return to it. What may
-// happen at any time is that leadership ends: onNotLeading() drops everything and a
-// callback that comes later finds nothing under its order or endpoint.
+// All decisions are made on the strand, and the port's callbacks run there. Leadership may end
+// at any time: onNotLeading() then drops all orders and state requests, and a callback that runs
+// later finds no entry for its order or endpoint.
 
 #include "control/orders.h"
 
@@ -80,7 +80,7 @@
     reissuing_.clear();
 }
 
-// --- what earlier terms left ---
+// --- orders of earlier terms ---
 
 auto Orders::adoptEarlier() -> void
 {
@@ -161,7 +161,7 @@
 {
     const auto term = *term_;
     const auto key = state::ReplicaKey { intent.model, intent.endpoint };
-    // The tables may be further on than this command: what is undone already is not sent.
+    // The tables may already contain later commands. An order that they undid is not sent.
     if (intent.fence != Fence { term.value() } || !node_.tables().findOrder(order))
         return;
     const auto earlierInFlight = reissuing_.contains(key);
@@ -242,7 +242,7 @@
         onFailure_({ key.second, key.first, outcome.result });
 }
 
-// A replica has one open order: a later one takes the place of an earlier.
+// A replica has at most one open order: a new order replaces the previous one.
 auto Orders::openOrder(OrderId order, OpenOrder open) -> OpenOrder &
 {
     const auto endpoint = open.key.second;
@@ -267,7 +267,7 @@
     open_.erase(found);
 }
 
-// Orders whose replica went with its endpoint's former life, or with the endpoint.
+// Closes orders whose replica was removed because its endpoint restarted or was removed.
 auto Orders::closeRemoved(const EndpointId &endpoint) -> void
 {
     const auto found = openByEndpoint_.find(endpoint);
@@ -398,7 +398,7 @@
                   });
 }
 
-// --- what differs from the tables without an order ---
+// --- reconciling endpoints with the tables ---
 
 auto Orders::onReport(const proto::EndpointReport &report) -> void
 {
--- a/control/orders.h
+++ b/control/orders.h
@@ -1,21 +1,23 @@
-// Carries out what the log decided: sends the orders, and settles them by what is seen.
+// Orders sends committed intents to endpoints as orders and determines their outcomes from
+// observations of the endpoints.
 //
 //   orders.onLeading(term);
-//   orders.onApplied(applied);     // an intent of this term is sent, an outcome ends it
-//   orders.tick();                 // asks endpoints with open orders for their state
+//   orders.onApplied(applied);     // Sends an intent of this term; an outcome closes its order.
+//   orders.tick();                 // Requests the state of endpoints with open orders.
 //
-// Only the leader holds one, in its term. An order is sent after its intent is
-// committed and applied, while the lease of that term holds. Orders left by
-// earlier terms are adopted: on an endpoint that checks fences a load is ordered
-// anew under the present fence; elsewhere it is in doubt until observations
-// settle it (control/ordermachine.h, docs/design/orders.md).
+// Orders are only active on the leader, within its term. An order is sent after its intent
+// has been committed and applied, while the lease of that term is valid. Orders left open by
+// earlier terms are adopted: if the endpoint checks fences, a load is ordered again under the
+// current fence. Otherwise the order is in doubt until observations settle it
+// (control/ordermachine.h, docs/design/orders.md).
 //
-// It also looks after what was settled before: a replica that its endpoint no
-// longer has is settled as unloaded, and a model found there that the tables do
-// not list is adopted by an intent of its own where the memory allows.
+// Orders also reconciles settled replicas with the endpoints: if an endpoint no longer has a
+// replica that the tables list, the replica is settled as unloaded. If an endpoint holds a
+// model that the tables do not list, an intent is proposed that adds it to the tables, as far
+// as the endpoint's memory allows.
 //
-// Guarantees: an order is given to the port at most once; no order is given to
-// it outside a lease; one state request an endpoint is under way at a time.
+// Guarantees: each order is passed to the port at most once and never outside a lease. At
+// most one state request per endpoint is in flight.
 
 #ifndef FIGRACK_CONTROL_ORDERS_H
 #define FIGRACK_CONTROL_ORDERS_H
@@ -36,15 +38,18 @@
 struct OrdersOptions
 {
     OrderMachineOptions machine;
-    Duration pollEvery = std::chrono::milliseconds { 100 }; ///< While an order is carried out.
-    Duration pollInDoubtEvery = std::chrono::milliseconds { 500 }; ///< While one is in doubt.
-    Duration auditEvery = std::chrono::seconds { 5 }; ///< At most, for one endpoint that differs.
-    /// After gaining the lease, before anything of an earlier term is judged: what an earlier
-    /// leader wrote may be acknowledged no longer than this after it had to abort.
+    /// Interval of state requests to an endpoint that carries out an order.
+    Duration pollEvery = std::chrono::milliseconds { 100 };
+    /// Interval of state requests to an endpoint whose open orders are all in doubt.
+    Duration pollInDoubtEvery = std::chrono::milliseconds { 500 };
+    /// Minimum time between audits of one endpoint.
+    Duration auditEvery = std::chrono::seconds { 5 };
+    /// Time to wait after gaining the lease before orders of earlier terms are adopted. Bytes
+    /// that an earlier leader wrote may be acknowledged up to this long after it had to abort.
     Duration holdOff = std::chrono::seconds { 4 };
 };
 
-/// Why a load did not come to be.
+/// A load that was refused or failed.
 struct LoadFailure
 {
     EndpointId endpoint;
@@ -55,24 +60,26 @@
 class Orders
 {
 public:
-    /// @param clock,node,port outlive this
+    /// @param clock,node,port must outlive this object
     Orders(OrdersOptions options, const Clock &clock, Node &node, OrderPort &port);
     ~Orders();
 
     auto onLeading(Term term) -> void;
     auto onNotLeading() -> void;
     auto onApplied(const AppliedCommand &applied) -> void;
-    /// A report that came by way of a router: only a hint to look for oneself.
+    /// Takes a report forwarded by a router. It only serves as a hint to request the state
+    /// from the endpoint directly.
     auto onReport(const proto::EndpointReport &report) -> void;
     auto tick() -> void;
 
-    /// Called when a load was refused or failed.
+    /// Sets the listener that is called when a load was refused or failed.
     auto setOnFailure(std::function<void(const LoadFailure &)> listener) -> void;
-    /// @return orders that are not settled
+    /// @return number of orders that are not settled
     auto open() const -> std::size_t { return open_.size(); }
-    /// @return orders given to the port since the process started
+    /// @return number of orders passed to the port since the process started
     auto sent() const -> std::uint64_t { return sent_; }
-    /// @return MiB used on an endpoint by what the tables do not list, by its last state
+    /// @return MiB used on an endpoint by models that the tables do not list, according to the
+    ///         last state requested from it
     auto unlistedMb(const EndpointId &endpoint) const -> std::uint64_t;
 
 private:
@@ -83,20 +90,20 @@
         state::OrderAction action = state::OrderAction::Load;
         bool outcomeProposed = false;
     };
-    /// What is being asked of one endpoint.
+    /// State requests to one endpoint.
     struct StatusPoll
     {
         bool inFlight = false;
         Instant nextAt;
-        Instant auditAt; ///< Not to be audited again before.
+        Instant auditAt; ///< Earliest time of the next audit.
         bool audit = false;
     };
 
-    /// What the tables listed on an endpoint when its state was asked for.
+    /// Replicas that the tables listed on an endpoint when its state was requested.
     struct Listed
     {
         std::set<ModelId> models;
-        std::map<ModelId, OrderId> ready; ///< Those settled as loaded, by their last order.
+        std::map<ModelId, OrderId> ready; ///< Loaded replicas, each with its last order.
     };
 
     auto adoptEarlier() -> void;
@@ -128,15 +135,16 @@
     const Clock &clock_;
     Node &node_;
     OrderPort &port_;
-    std::shared_ptr<int> alive_ = std::make_shared<int>(0); ///< Guards callbacks of the port.
-    std::optional<Term> term_;                              ///< While leading.
-    std::optional<Instant> adoptAt_;                        ///< End of the hold-off.
+    /// Lets port callbacks detect destruction.
+    std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+    std::optional<Term> term_;       ///< While leading.
+    std::optional<Instant> adoptAt_; ///< End of the hold-off; empty once orders were adopted.
     std::map<OrderId, OpenOrder> open_;
     std::map<EndpointId, std::set<OrderId>> openByEndpoint_;
     std::map<EndpointId, StatusPoll> polls_;
     std::map<EndpointId, std::uint64_t> unlistedMb_;
-    std::set<state::ReplicaKey> adopting_;  ///< Intents proposed for what was found loaded.
-    std::set<state::ReplicaKey> reissuing_; ///< Intents proposed for loads of earlier terms.
+    std::set<state::ReplicaKey> adopting_;  ///< Proposed intents for models found loaded.
+    std::set<state::ReplicaKey> reissuing_; ///< Proposed intents for loads of earlier terms.
     Fence highestSent_;
     std::function<void(const LoadFailure &)> onFailure_;
     std::uint64_t sent_ = 0;
--- a/control/peertransport.h
+++ b/control/peertransport.h
@@ -1,11 +1,11 @@
-// The replica's transport: one dialled connection to each other control.
+// PeerTransport connects the replica to the other controls, with one outgoing connection to each.
 //
 //   auto transport = PeerTransport { context, channelOptions };
-//   transport.setPeers(members);       // from the settings, then from the membership
+//   transport.setPeers(members);       // From the settings, later from the membership.
 //   transport.send(to, message);
 //
-// Guarantees: a message to a control that is not connected, or whose queue is
-// full, is dropped; addresses follow the membership without a restart.
+// Guarantees: a message to a control that is not connected, or whose queue is full, is dropped.
+// Addresses follow the membership without a restart.
 
 #ifndef FIGRACK_CONTROL_PEERTRANSPORT_H
 #define FIGRACK_CONTROL_PEERTRANSPORT_H
@@ -24,12 +24,12 @@
 class PeerTransport final : public coord::Transport
 {
 public:
-    /// @param handler of what the others push on these connections; may be empty
+    /// @param handler receives what the other controls push on these connections; may be empty
     PeerTransport(boost::asio::io_context &context, proto::ChannelOptions options,
                   proto::PeerHandler handler = {});
 
-    /// Dials those that are new or have moved. Peers not listed are kept: a removed control
-    /// may still have to hear of it.
+    /// Connects to peers that are new or whose address changed. Peers not listed are kept,
+    /// since a removed control may still have to learn of its removal.
     auto setPeers(const std::vector<coord::Member> &members) -> void;
     auto send(const NodeId &to, coord::Message message) -> void override;
     /// Pushes a copy to every control that is connected.
--- a/control/process.cpp
+++ b/control/process.cpp
@@ -1,6 +1,6 @@
-// Handlers of sockets and timers hold a weak pointer and post to the strand, so that one
-// which comes late finds nothing. A replica that has stopped for good, by a disk that
-// failed, ends the process: the supervisor and the operator see it at once.
+// Handlers of sockets and timers hold a weak pointer and post to the strand, so a handler that
+// runs after the process was destroyed does nothing. If the replica stops permanently because of
+// a disk failure, the process ends, so that the supervisor and the operator notice at once.
 
 #include "control/process.h"
 
@@ -57,7 +57,7 @@
 
     std::unique_ptr<proto::PeerServer> peerServer_;
     std::unique_ptr<http::Server> httpServer_;
-    absl::Status failure_; ///< Read once the context has stopped.
+    absl::Status failure_; ///< May only be read after the context has stopped.
 
 private:
     auto makeControl(proto::ChannelOptions channel) -> void;
@@ -78,12 +78,12 @@
     BootTimer timer_;
     Strand leaseStrand_;
     BootTimer leaseTimer_;
-    bool leaseWasHeld_ = false; ///< By the watch.
+    bool leaseWasHeld_ = false; ///< At the last lease check.
     Random random_;
     coord::PosixDisk disk_;
     coord::FileLogStore store_;
     HttpOrderPort port_;
-    coord::Membership membership_; ///< As the transport knows it.
+    coord::Membership membership_; ///< The membership last passed to the transport.
     std::unique_ptr<PeerTransport> transport_;
     std::unique_ptr<Control> control_;
     std::unique_ptr<OperatorApi> api_;
--- a/control/process.h
+++ b/control/process.h
@@ -1,12 +1,12 @@
-// The control process: a Control with its sockets, its data folder and its timers.
+// Process is the control process: a Control with its sockets, its data folder and its timers.
 //
 //   auto process = Process { context, options, clock };
 //   if (auto status = process.start(); !status.ok()) ...
-//   process.stop([&context] { context.stop(); });      // on SIGTERM
+//   process.stop([&context] { context.stop(); });      // On SIGTERM.
 //
-// The control runs on one strand of the context, everything else on its worker
-// threads. A watch on a strand of its own aborts the order connections when the
-// lease has ended, also while the control's strand waits for the disk.
+// The control runs on one strand of the context; all other work runs on the context's worker
+// threads. A timer on a separate strand aborts the order connections when the lease has ended,
+// even while the control's strand is waiting for the disk.
 
 #ifndef FIGRACK_CONTROL_PROCESS_H
 #define FIGRACK_CONTROL_PROCESS_H
@@ -25,17 +25,17 @@
 class Process
 {
 public:
-    /// @param context,clock outlive the process object
+    /// @param context,clock must outlive the process object
     Process(boost::asio::io_context &context, ProcessOptions options, const Clock &clock);
     ~Process();
 
     /// @return BadSettings, Corrupt, DiskFailed or DiskFull
     auto start() -> absl::Status;
-    /// Hands leadership over, then closes everything.
-    /// @param done called once all is closed, on a worker
+    /// Transfers leadership, then closes all connections and timers.
+    /// @param done called on a worker thread when everything is closed
     auto stop(std::function<void()> done) -> void;
 
-    /// @return why the process ended by itself; OK when it was told to
+    /// @return the reason why the process ended by itself; OK if stop() ended it
     auto failure() const -> absl::Status;
     /// @return the port operators connect to
     auto operatorPort() const -> std::uint16_t;
--- a/control/replies.h
+++ b/control/replies.h
@@ -1,4 +1,4 @@
-// How the control's parts answer requests of the inner protocol.
+// Caller is how the parts of the control answer requests of the internal protocol.
 
 #ifndef FIGRACK_CONTROL_REPLIES_H
 #define FIGRACK_CONTROL_REPLIES_H
@@ -14,11 +14,11 @@
 
 namespace figrack::control {
 
-/// A request of the inner protocol that is still to be answered.
+/// A request of the internal protocol that has not been answered yet.
 struct Caller
 {
     proto::PeerPointer peer;
-    std::uint64_t correlation = 0; ///< 0 for a push, which gets no answer.
+    std::uint64_t correlation = 0; ///< 0 for a push, which is not answered.
 
     auto reply(proto::Payload payload) const -> void
     {
@@ -26,13 +26,14 @@
             (void)peer->send({ correlation, std::move(payload) });
     }
 
-    /// Answers with an error. @param leader named so that the peer can ask it
+    /// Answers with an error.
+    /// @param leader the leader, so that the peer can send its request there; may be empty
     auto fail(const absl::Status &status, const NodeId &leader = {}) const -> void
     {
         reply(proto::Failure { errorKind(status), std::string { errorArgument(status) }, leader });
     }
 
-    /// Answers NotLeader, naming who leads as far as this control knows.
+    /// Answers NotLeader and names the leader that this control knows.
     auto failNotLeader(const Node &node) const -> void
     {
         fail(makeError(ErrorKind::NotLeader, "control=" + node.self().value()),
--- a/control/reports.cpp
+++ b/control/reports.cpp
@@ -1,5 +1,5 @@
-// Requests to routers are pushes, and so are their answers: a channel numbers only the calls
-// of the side that dialled.
+// Both the requests to routers and their replies are sent as pushes, because a channel assigns
+// correlation numbers only to calls of the side that opened the connection.
 
 #include "control/reports.h"
 
--- a/control/reports.h
+++ b/control/reports.h
@@ -1,14 +1,15 @@
-// The burn report: the leader gathers the routers' counts and renders them for operators.
+// Reports builds the burn report: the leader collects the routers' counts and renders them for
+// operators.
 //
 //   if (reports.isPullDue()) reports.pull(peers);
-//   reports.tick();                               // meters idle time
-//   reports.onReply(peer, reply);
-//   reports.refresh([&] { ... reports.render(window, format) ... });
+//   reports.tick();                               // Measures idle time.
+//   reports.onReply(router, reply);
+//   reports.refresh(peers, [&] { ... reports.render(window, format) ... });
 //
-// Soft state, on the leader only: a new leader asks the routers for all they have
-// (report/collector.h). Idle accelerator time is metered from the tables and the
-// endpoints' load reports: a Ready replica that runs nothing holds the accelerators of
-// its endpoint in proportion to its memory.
+// The state is kept in memory on the leader only. A new leader requests all counts that the
+// routers have (report/collector.h). Idle accelerator time is computed from the tables and the
+// endpoints' load reports: a Ready replica without requests occupies the accelerators of its
+// endpoint in proportion to its memory.
 
 #ifndef FIGRACK_CONTROL_REPORTS_H
 #define FIGRACK_CONTROL_REPORTS_H
@@ -31,25 +32,27 @@
 {
     report::CollectorOptions collector;
     Duration meterEvery = std::chrono::seconds { 1 };
-    Duration replyTimeout = std::chrono::milliseconds { 500 }; ///< For the routers' answers.
+    Duration replyTimeout = std::chrono::milliseconds { 500 }; ///< For the routers' replies.
 };
 
 class Reports
 {
 public:
-    /// @param clock,node,scheduler outlive this
+    /// @param clock,node,scheduler must outlive this object
     Reports(ReportsOptions options, const Clock &clock, const Node &node,
             const Scheduler &scheduler);
 
     auto onLeading() -> void;
     auto onNotLeading() -> void;
     auto isPullDue() const -> bool;
-    /// Asks the routers for their counts. @param routers the connections to ask
+    /// Requests the routers' counts.
+    /// @param routers the connections to send the requests on
     auto pull(const std::vector<proto::PeerPointer> &routers) -> void;
     auto tick() -> void;
     auto onReply(const NodeId &router, const proto::ReportReply &reply) -> void;
 
-    /// Asks all routers now and calls back once they have answered, or when patience ends.
+    /// Requests counts from all routers and calls back once all have replied, or after
+    /// replyTimeout.
     auto refresh(const std::vector<proto::PeerPointer> &routers, std::function<void()> done)
             -> void;
     /// @return the report over a window
--- a/control/routers.cpp
+++ b/control/routers.cpp
@@ -1,5 +1,5 @@
-// The detector's timeouts are all removeAfter: a router is not suspected early, since a
-// router without a view lease takes no work of its own accord, and removal only tidies up.
+// Both timeouts of the detector are set to removeAfter. Routers are not suspected earlier, since a
+// router without a view lease accepts no work, and removal only cleans up the tables.
 
 #include "control/routers.h"
 
@@ -31,7 +31,7 @@
     return coord::PeerId { router.value() };
 }
 
-/// Answers a command whose only outcome is that it was applied.
+/// Answers a command that has no result except that it was applied.
 auto answerApplied(const Caller &caller, const Node &node,
                    const absl::StatusOr<AppliedCommand> &result, bool joined) -> void
 {
@@ -121,7 +121,8 @@
         waiter.done(makeError(ErrorKind::OutcomeUnknown, "leadership was lost"));
 }
 
-// A new leader has heard nothing yet and may have been paused: everyone starts anew.
+// Restarts the detector: a new leader has received nothing yet and may have been paused, so the
+// silence of every router is measured from now.
 auto Routers::expectAll() -> void
 {
     detector_.emplace(detectorOptions(options_), clock_);
--- a/control/routers.h
+++ b/control/routers.h
@@ -1,10 +1,11 @@
-// The routers that take part: joining, leaving, and whether a configuration is in force at all.
+// Routers tracks the routers of the system: joining, leaving, and which configuration revision is
+// in force everywhere.
 //
-// On the leader a router joins by a command in the log; a life that is silent for
-// long is removed. Each router's acknowledgement of a configuration revision comes
-// with its renewals, which every control hears, so that a new leader's gate is
-// warm. A change is accepted once every life of a router that may still act on an
-// older configuration has acknowledged it or has lost its view lease
+// On the leader, a router joins through a command in the log, and an incarnation that is silent
+// for removeAfter is removed. A router acknowledges a configuration revision with its lease
+// renewals. Every control receives these, so that a new leader already knows the
+// acknowledgements. A change is accepted once every incarnation of a router that may still act
+// on an older configuration has acknowledged the change or has lost its view lease
 // (coord/viewlease.h).
 
 #ifndef FIGRACK_CONTROL_ROUTERS_H
@@ -24,34 +25,34 @@
 struct RoutersOptions
 {
     coord::ViewLeaseOptions viewLease;
-    Duration removeAfter = std::chrono::seconds { 60 }; ///< Of silence.
+    Duration removeAfter = std::chrono::seconds { 60 }; ///< Silence before removal.
 };
 
 class Routers
 {
 public:
-    /// @param clock,node outlive this
+    /// @param clock,node must outlive this object
     Routers(RoutersOptions options, const Clock &clock, Node &node);
 
     auto onJoin(const Caller &caller, const proto::JoinRequest &request) -> void;
     auto onDrain(const Caller &caller, const proto::DrainNotice &notice) -> void;
     auto onRenew(const Caller &caller, const coord::RenewRequest &request) -> void;
-    /// A sign of life, with the revision in force there.
+    /// Records that a router is alive and which configuration revision it has applied.
     auto onActivity(const NodeId &router, Incarnation incarnation, Revision applied) -> void;
 
     auto onLeading() -> void;
     auto onNotLeading() -> void;
     auto onApplied(const AppliedCommand &applied) -> void;
     auto onRestored() -> void;
-    /// Removes the silent, when leading, and tells waiters what has been accepted.
+    /// Removes silent routers while leading, and notifies waiters of accepted revisions.
     auto tick() -> void;
 
     /// Calls back once a revision is in force everywhere, or with an error when this control
     /// stops leading first.
     auto whenAccepted(Revision revision, std::function<void(const absl::Status &)> done) -> void;
-    /// @return the highest revision in force everywhere, as this control knows
+    /// @return the highest revision that this control knows to be in force everywhere
     auto acceptedUpTo() const -> Revision { return gate_.acceptedUpTo(); }
-    /// @return false for a router that has been silent for long
+    /// @return false if the router has been silent for removeAfter
     auto isAlive(const NodeId &router) const -> bool;
 
 private:
@@ -69,7 +70,8 @@
     const Clock &clock_;
     Node &node_;
     coord::AcceptGate gate_;
-    std::optional<coord::FailureDetector> detector_; ///< Never empty; made anew on leading.
+    /// Never empty; recreated when leading begins.
+    std::optional<coord::FailureDetector> detector_;
     bool leads_ = false;
     std::vector<Waiter> waiters_;
 };
--- a/control/scheduler.cpp
+++ b/control/scheduler.cpp
@@ -1,5 +1,5 @@
-// The planner's clock is this process's monotonic one in milliseconds; wall times from the
-// tables are moved over by the present difference of the two.
+// The planner's clock is this process's monotonic clock in milliseconds. Wall times from the
+// tables are converted by the current difference between the two clocks.
 
 #include "control/scheduler.h"
 
@@ -79,7 +79,7 @@
     backoffs_.clear();
 }
 
-// --- the mirror ---
+// --- copying the tables into the planner ---
 
 auto Scheduler::mirrorAll() -> void
 {
@@ -120,8 +120,9 @@
     planner_->setModel({ id, spec.version, spec.base, memory, spec.slots });
 }
 
-// Only what the change names: a walk over the whole configuration would make each change
-// cost more the larger the catalogue is. The tables may be further on than the change.
+// Copies only the objects that the change names. Copying the whole configuration would make
+// the cost of each change grow with the size of the catalogue. The tables may already
+// contain later changes.
 auto Scheduler::mirrorChange(const state::ConfigOperation &operation) -> void
 {
     if (const auto *putClass = std::get_if<state::PutClass>(&operation))
@@ -300,7 +301,7 @@
     return found != backoffs_.end() && found->second.active;
 }
 
-// The entry stays, so that the next failure keeps it aside for longer.
+// Keeps the entries, so that the next failure of the endpoint leads to a longer back-off.
 auto Scheduler::endExpiredBackoffs() -> void
 {
     for (auto &[endpoint, backoff] : backoffs_) {
--- a/control/scheduler.h
+++ b/control/scheduler.h
@@ -1,17 +1,19 @@
-// Decides what is loaded where, on the leader, and proposes it to the log.
+// Scheduler decides which endpoint loads or unloads which model. It runs on the leader and
+// proposes its decisions to the replicated log.
 //
 //   scheduler.onLeading(term);
 //   scheduler.onDemand(report);
-//   scheduler.tick();            // plans, proposes intents
+//   scheduler.tick();            // Plans and proposes intents.
 //
-// It mirrors the tables, the demand and the endpoints' loads into policy::Planner
-// and turns the planner's decisions into intents. What the intents bring about is
-// control/orders.h's work.
+// The scheduler copies the tables, the demand and the endpoints' loads into
+// policy::Planner and turns the planner's decisions into intents. control/orders.h
+// carries the committed intents out.
 //
-// Guarantees: nothing is proposed outside the lease; while intents are on their
-// way through the log nothing else is decided, so that no decision is made on a
-// picture without them; an endpoint that refused or failed a load gets no further
-// one for a while that doubles each time.
+// Guarantees: the scheduler proposes nothing while the leader does not hold its lease.
+// While proposed intents are not yet applied or rejected it makes no further decisions,
+// so that every plan takes all earlier decisions into account. After an endpoint refuses
+// or fails a load, it receives no further load for a back-off time that doubles with each
+// failure.
 
 #ifndef FIGRACK_CONTROL_SCHEDULER_H
 #define FIGRACK_CONTROL_SCHEDULER_H
@@ -32,15 +34,16 @@
 {
     policy::PlannerOptions planner;
     DemandOptions demand;
-    Duration planEvery = std::chrono::milliseconds { 100 }; ///< Without news.
-    Duration backoffMin = std::chrono::seconds { 1 };       ///< After a failed load; doubles.
+    /// Interval between plans while nothing changes.
+    Duration planEvery = std::chrono::milliseconds { 100 };
+    Duration backoffMin = std::chrono::seconds { 1 }; ///< After the first failed load; doubles.
     Duration backoffMax = std::chrono::seconds { 60 };
 };
 
 class Scheduler
 {
 public:
-    /// @param clock,node,endpoints,orders outlive this
+    /// @param clock,node,endpoints,orders must outlive this object
     Scheduler(SchedulerOptions options, const Clock &clock, Node &node, const Endpoints &endpoints,
               const Orders &orders);
 
@@ -52,27 +55,27 @@
     auto onFailure(const LoadFailure &failure) -> void;
     auto tick() -> void;
 
-    /// @return true when nothing ran or waited on a replica at its last report
+    /// @return true if the last report of the replica showed no running or waiting request
     auto isIdle(const state::ReplicaKey &key) const -> bool;
-    /// @return requests that wait at routers
+    /// @return number of requests waiting at all routers
     auto queued() const -> std::uint64_t { return demand_.queued(); }
 
 private:
-    /// An endpoint that failed loads lately.
+    /// Back-off state of an endpoint that refused or failed a load.
     struct LoadBackoff
     {
         Instant until;
         Duration delay {};
         bool active = false;
     };
-    /// What is known of a replica's use beyond the tables.
+    /// Load of a replica, from endpoint reports; the tables do not hold it.
     struct Use
     {
         std::uint32_t running = 0;
         std::uint32_t waiting = 0;
         policy::Millis idleSince = 0;
     };
-    /// A load on its way, for the lesson that its end teaches.
+    /// A load that has not finished; its duration updates the planner's estimates.
     struct PendingLoad
     {
         ModelId model;
@@ -107,11 +110,11 @@
     std::optional<policy::Planner> planner_; ///< While leading.
     std::map<EndpointId, std::set<ModelId>> replicas_;
     std::map<state::ReplicaKey, Use> uses_;
-    std::map<state::ReplicaKey, policy::Tier>
-            proposedTiers_; ///< Of loads decided, till they apply.
+    /// Source tiers of loads that are proposed but not applied.
+    std::map<state::ReplicaKey, policy::Tier> proposedTiers_;
     std::map<OrderId, PendingLoad> pendingLoads_;
     std::map<EndpointId, LoadBackoff> backoffs_;
-    std::size_t intentsInFlight_ = 0; ///< Intents on their way through the log.
+    std::size_t intentsInFlight_ = 0; ///< Intents that are proposed but not applied.
     bool planNeeded_ = false;         ///< Something changed since the last plan.
     Instant nextPlanAt_;
 };
--- a/control/settings.cpp
+++ b/control/settings.cpp
@@ -1,6 +1,7 @@
-// The same list of controls stands in the settings of every control, so that the founders
-// agree on the first membership. It is used for that only where control.found says so: a
-// control whose disk was wiped must not vote as if it remembered, and joins as a learner.
+// The settings of every control contain the same list of controls, so that the founders agree on
+// the first membership. The list is used for founding only if control.found is true: a control
+// whose disk was wiped has forgotten its votes, so it must not vote and joins as a learner
+// instead.
 
 #include "control/settings.h"
 
@@ -129,7 +130,8 @@
         addressListRule("control.members",
                         "name/domain@ip:port of every control, the same list on all of them"),
         flagRule("control.found",
-                 "true on first start: the members listed found the group; set it to false then",
+                 "true on the first start only: the listed members found the group; set it to "
+                 "false afterwards",
                  false),
         textRule("control.key_file", "file with the keys shared by figrack's processes"),
         numberRule("control.threads", "worker threads", 1, 256, 4),
@@ -139,10 +141,10 @@
         textRule("operator.token_file", "file with the operators' tokens, one a line"),
         textRule("tls.certificate", "PEM certificate chain for operators; empty: plain HTTP", ""),
         textRule("tls.key", "PEM private key", ""),
-        durationRule("replication.heartbeat", "between the leader's heartbeats",
+        durationRule("replication.heartbeat", "time between the leader's heartbeats",
                      milliseconds { 10 }, seconds { 5 }, milliseconds { 50 }),
         durationRule("replication.election_timeout",
-                     "silence of the leader before an election; randomised up to twice",
+                     "silence of the leader before an election; randomised up to twice the value",
                      milliseconds { 100 }, seconds { 60 }, milliseconds { 500 }),
         numberRule("replication.clock_drift_permille",
                    "bound on how far the rates of two VMs' clocks differ", 1, 100, 10),
@@ -150,27 +152,31 @@
                    10'000),
         durationRule("lease.length", "how long a router's configuration is known to be current",
                      milliseconds { 200 }, seconds { 60 }, milliseconds { 1500 }),
-        durationRule("lease.renew_every", "between a router's renewals of it", milliseconds { 20 },
-                     seconds { 20 }, milliseconds { 300 }),
+        durationRule("lease.renew_every", "time between a router's lease renewals",
+                     milliseconds { 20 }, seconds { 20 }, milliseconds { 300 }),
         durationRule("routers.remove_after", "silence after which a router is removed",
                      seconds { 2 }, hours { 24 }, seconds { 60 }),
         durationRule("endpoints.announce_every", "how often endpoints announce themselves",
                      milliseconds { 20 }, seconds { 60 }, seconds { 1 }),
-        durationRule("endpoints.suspect_after", "shortest silence that makes one suspected",
-                     milliseconds { 100 }, minutes { 10 }, seconds { 3 }),
-        durationRule("endpoints.suspect_latest", "silence after which any is suspected",
+        durationRule("endpoints.suspect_after",
+                     "shortest silence after which an endpoint is suspected", milliseconds { 100 },
+                     minutes { 10 }, seconds { 3 }),
+        durationRule("endpoints.suspect_latest", "silence after which every endpoint is suspected",
                      milliseconds { 200 }, minutes { 30 }, seconds { 10 }),
-        durationRule("endpoints.forget_after", "silence after which one and its replicas are gone",
-                     seconds { 5 }, hours { 240 }, minutes { 15 }),
+        durationRule("endpoints.forget_after",
+                     "silence after which an endpoint and its replicas are removed", seconds { 5 },
+                     hours { 240 }, minutes { 15 }),
         durationRule("claims.keep", "how long a claim's outcome is kept", seconds { 10 },
                      hours { 240 }, hours { 24 }),
-        durationRule("orders.timeout", "for an endpoint's answer to an order", milliseconds { 100 },
-                     minutes { 5 }, seconds { 2 }),
+        durationRule("orders.timeout", "time limit for an endpoint's answer to an order",
+                     milliseconds { 100 }, minutes { 5 }, seconds { 2 }),
         durationRule("orders.user_timeout", "TCP_USER_TIMEOUT of an order's connection",
                      milliseconds { 100 }, minutes { 5 }, seconds { 2 }),
-        durationRule("orders.doubt", "how long an order whose connection was aborted may arrive",
+        durationRule("orders.doubt",
+                     "how long an order may still arrive after its connection was aborted",
                      milliseconds { 100 }, hours { 1 }, seconds { 10 }),
-        durationRule("orders.poll_every", "between looks at an endpoint that carries out an order",
+        durationRule("orders.poll_every",
+                     "time between status requests to an endpoint that carries out an order",
                      milliseconds { 10 }, seconds { 10 }, milliseconds { 100 }),
         numberRule("store.concurrency", "loads at once at the weight store's full speed", 1, 10'000,
                    4),
--- a/control/settings.h
+++ b/control/settings.h
@@ -1,4 +1,4 @@
-// The settings of figrack-control: their schema and what they make of a control.
+// The settings of figrack-control: the schema and the conversion to options.
 
 #ifndef FIGRACK_CONTROL_SETTINGS_H
 #define FIGRACK_CONTROL_SETTINGS_H
@@ -15,15 +15,15 @@
 
 namespace figrack::control {
 
-/// Everything the process is started with.
+/// All options of the process.
 struct ProcessOptions
 {
     ControlOptions control;
     endpoint::OrderOptions orders;
-    std::vector<coord::Member> peers; ///< The other controls, as the settings list them.
+    std::vector<coord::Member> peers; ///< The other controls listed in the settings.
     std::map<NodeId, Address> operatorAddresses;
-    Address listen;         ///< Where controls and routers connect.
-    Address operatorListen; ///< Where operators connect.
+    Address listen;         ///< Address where controls and routers connect.
+    Address operatorListen; ///< Address where operators connect.
     std::string dataFolder;
     std::string keyFile;
     std::string tokenFile;
--- a/control/statusjson.h
+++ b/control/statusjson.h
@@ -1,4 +1,4 @@
-// GET /v1/status: what this control knows of the system, as JSON.
+// The body of GET /v1/status: this control's view of the system, as JSON.
 
 #ifndef FIGRACK_CONTROL_STATUSJSON_H
 #define FIGRACK_CONTROL_STATUSJSON_H
@@ -9,8 +9,9 @@
 
 namespace figrack::control {
 
-/// @param control on its strand
-/// @return the body
+/// Call it on the control's strand.
+/// @param control the control to read
+/// @return the response body
 auto statusJson(const Control &control) -> std::string;
 
 } // namespace figrack::control
--- a/control/testing/simulation.cpp
+++ b/control/testing/simulation.cpp
@@ -6,8 +6,8 @@
 namespace figrack::control::testing {
 namespace {
 
-constexpr auto routerEvery = milliseconds { 100 };
-constexpr auto engineEvery = milliseconds { 100 };
+constexpr auto routerInterval = milliseconds { 100 };
+constexpr auto engineInterval = milliseconds { 100 };
 constexpr auto routerIncarnation = Incarnation { 1 };
 
 auto optionsOf(const coord::Member &self, const std::vector<coord::Member> &founders,
@@ -19,12 +19,12 @@
     replica.founders = founders;
     replica.snapshotEvery = simulation.snapshotEvery;
     replica.keepEntries = std::min<std::size_t>(replica.keepEntries, simulation.snapshotEvery);
-    options.endpoints.detector.expectedGap = engineEvery;
+    options.endpoints.detector.expectedGap = engineInterval;
     options.endpoints.detector.minTimeout = milliseconds { 800 };
     options.endpoints.detector.maxTimeout = seconds { 2 };
     options.endpoints.forgetAfter = seconds { 120 };
     options.orders.machine.maxOrderDelay = seconds { 2 };
-    options.orders.holdOff = Duration {}; // The doubt time alone has to do.
+    options.orders.holdOff = Duration {}; // The in-doubt delay alone must be sufficient.
 
     options.scheduler.planner.storeLoadsPerSecond = 100;
     return options;
@@ -203,8 +203,8 @@
     });
 }
 
-// Connect, ask mayStart, then the bytes lie in the kernel, where an abort still catches them,
-// until the network takes them; from then on they arrive whatever becomes of us.
+// Connects, calls mayStart and writes. The bytes stay in the kernel, where an abort still discards
+// them, until the network accepts them. After that they arrive whatever happens to this control.
 auto SimControl::send(const Address &endpoint, const endpoint::Order &order,
                       std::function<bool()> mayStart, OrderDone done) -> void
 {
@@ -256,7 +256,7 @@
     simulation.schedule(transit, [this, flight] { arrive(flight); });
 }
 
-// A connection dies with the life of the engine that it was made to.
+// A connection breaks when the engine that it was opened to restarts.
 auto SimControl::arrive(const std::shared_ptr<InFlightOrder> &flight) -> void
 {
     auto *engine = simulation.engineAt(flight->endpoint);
@@ -291,7 +291,7 @@
     ++aborts;
 }
 
-// --- the world ---
+// --- the simulation ---
 
 Simulation::Simulation(std::uint64_t seed, std::size_t count, SimulationOptions given)
     : options(given)
@@ -410,7 +410,7 @@
     newDemand_.insert(model);
 }
 
-// Each router renews at every control, and the leader gets joins and demand.
+// Each router renews its lease at every control and sends joins and demand to the leader.
 auto Simulation::tickRouters() -> void
 {
     ++demandSequence_;
@@ -449,7 +449,7 @@
         }
     }
     newDemand_.clear();
-    schedule(routerEvery, [this] { tickRouters(); });
+    schedule(routerInterval, [this] { tickRouters(); });
 }
 
 auto Simulation::tickEngines() -> void
@@ -470,7 +470,7 @@
             });
         }
     }
-    schedule(engineEvery, [this] { tickEngines(); });
+    schedule(engineInterval, [this] { tickEngines(); });
 }
 
 auto Simulation::engineAt(const Address &address) -> FakeEngine *
@@ -511,7 +511,7 @@
     }
     if (loaded)
         return endpoint::OrderReply::Already;
-    // A control that has not learnt of the order's intent yet says nothing against it.
+    // Tables that have not reached the order's intent yet do not show whether it exists.
     const auto &tables = committed();
     const auto intentApplied = tables.appliedIndex().value() >= order.id.value();
     if (intentApplied && !tables.replicas().contains({ order.model, engine.spec.id }))
--- a/control/testing/simulation.h
+++ b/control/testing/simulation.h
@@ -1,14 +1,14 @@
-// A group of controls, routers and engines in virtual time, over small fakes of
-// network, disk and endpoints.
+// Simulation runs a group of controls, routers and engines in virtual time, with small fakes of
+// the network, the disk and the endpoints.
 //
 //   auto sim = Simulation { seed, 3 };
 //   sim.start();
 //   sim.run(seconds { 2 });
 //   auto *leader = sim.leader();
 //
-// Events are closures ordered by time and then by number, so a seed replays
-// exactly. Every engine checks what it is told to do against what the group has
-// committed: a load that was not decided, or that does not fit, is counted.
+// Events are closures ordered by time and then by sequence number, so a run is reproducible from
+// its seed. Every engine checks each order against the commands that the group has committed:
+// the simulation counts loads without a committed intent and loads that do not fit in memory.
 
 #ifndef FIGRACK_CONTROL_TESTING_SIMULATION_H
 #define FIGRACK_CONTROL_TESTING_SIMULATION_H
@@ -32,7 +32,8 @@
 
 class Simulation;
 
-/// A log store in memory; what returned is durable, as the interface wants.
+/// A log store in memory. A write is durable once its call has returned, as the interface
+/// requires.
 class MemoryLogStore final : public coord::LogStore
 {
 public:
@@ -50,7 +51,7 @@
     std::size_t syncs_ = 0;
 };
 
-/// A connection from a fake peer; it keeps what it was sent.
+/// A connection from a fake peer, which records the envelopes sent to it.
 class FakePeer final : public proto::PeerConnection
 {
 public:
@@ -62,7 +63,7 @@
     auto close() -> void override { open_ = false; }
     auto isOpen() const -> bool override { return open_; }
 
-    /// Takes what was sent of one kind since the last call.
+    /// Removes and returns the recorded payloads of one type.
     template<typename T>
     auto take() -> std::vector<T>
     {
@@ -79,14 +80,14 @@
     }
 
     std::vector<proto::Envelope> received;
-    std::size_t room = SIZE_MAX; ///< Envelopes it still takes.
+    std::size_t room = SIZE_MAX; ///< Number of envelopes that it still accepts.
 
 private:
     NodeId name_;
     bool open_ = true;
 };
 
-/// A model engine: loads take time, memory is real, fences are checked or not.
+/// A model engine. Loads take time and memory; the spec says whether it checks fences.
 struct FakeEngine
 {
     struct Model
@@ -106,7 +107,7 @@
     auto report() -> proto::EndpointReport;
 };
 
-/// One control with its disk, which outlives its crashes.
+/// One control with its disk; the disk keeps its contents across crashes.
 class SimControl final
     : public coord::Transport
     , public OrderPort
@@ -125,13 +126,13 @@
     auto fetchStatus(const Address &endpoint, StatusDone done) -> void override;
     auto abortAll() -> void override;
 
-    /// An order on its way to an engine.
+    /// An order in transit to an engine.
     struct InFlightOrder
     {
         Address endpoint;
         endpoint::Order order;
-        std::uint64_t abortsAtStart = 0; ///< Aborts before it.
-        Incarnation incarnation;         ///< Of the engine at the other end of the connection.
+        std::uint64_t abortsAtStart = 0; ///< Number of aborts before the order started.
+        Incarnation incarnation;         ///< Incarnation of the engine connected to.
         std::function<void(endpoint::OrderReply)> answer;
     };
     auto start(const std::shared_ptr<InFlightOrder> &flight, const std::function<bool()> &mayStart)
@@ -139,7 +140,7 @@
     auto transmit(const std::shared_ptr<InFlightOrder> &flight) -> void;
     auto arrive(const std::shared_ptr<InFlightOrder> &flight) -> void;
 
-    /// Runs on this control now, or when it is resumed; never after a crash.
+    /// Runs the work on this control now, or on resume if it is paused; never after a crash.
     auto runOrDefer(std::function<void()> work) -> void;
     auto scheduleTick() -> void;
 
@@ -149,9 +150,9 @@
     std::unique_ptr<Control> control; ///< Empty while crashed.
     std::uint64_t generation = 0;
     bool paused = false;
-    std::vector<std::function<void()>> deferred; ///< Work that waits for the resume.
-    std::uint64_t aborts = 0; ///< Orders begun before the last abort are dropped.
-    /// Called right before an order's first byte; may crash or pause this control.
+    std::vector<std::function<void()>> deferred; ///< Work that runs on resume.
+    std::uint64_t aborts = 0; ///< Orders started before the last abort are dropped.
+    /// Called right before an order's first byte is sent; may crash or pause this control.
     std::function<void()> beforeSend;
     std::map<NodeId, std::shared_ptr<FakePeer>> peers; ///< Connections into this control.
 };
@@ -163,7 +164,7 @@
     std::size_t routers = 2;
     bool checksFence = false;
     Duration loadTime = milliseconds { 400 };
-    Duration maxTransit = milliseconds { 3 }; ///< Of an order on the wire.
+    Duration maxTransit = milliseconds { 3 }; ///< Longest time of an order on the wire.
     std::size_t snapshotEvery = 10000;
 };
 
@@ -175,7 +176,8 @@
 
     auto start() -> void;
     auto run(Duration time) -> void;
-    /// Runs until a condition holds. @return false when it did not within the time
+    /// Runs until a condition holds.
+    /// @return false if the condition did not hold within the time
     auto runUntil(const std::function<bool()> &condition, Duration atMost) -> bool;
     auto schedule(Duration delay, std::function<void()> work) -> void;
 
@@ -186,16 +188,16 @@
     auto isolate(const NodeId &node) -> void { isolated.insert(node); }
     auto heal() -> void { isolated.clear(); }
 
-    /// Applies a change at the leader and waits for its end.
+    /// Applies a change at the leader and waits for its outcome.
     auto changeConfiguration(const state::ConfigChange &change)
             -> std::pair<absl::Status, Revision>;
-    /// What the routers say waits for a model from now on, in sum.
+    /// Sets the total number of waiting requests that the routers report for a model.
     auto setDemand(const std::string &model, std::uint32_t queued) -> void;
     auto engineAt(const Address &address) -> FakeEngine *;
-    /// The engine's process dies and comes back empty.
+    /// Restarts the engine's process without loaded models.
     auto restart(FakeEngine &engine) -> void;
     auto deliverOrder(FakeEngine &engine, const endpoint::Order &order) -> endpoint::OrderReply;
-    /// @return the tables of the control that has applied most
+    /// @return the tables of the control with the highest applied index
     auto committed() -> const state::Tables &;
     auto replicasLoaded(const std::string &model) const -> std::size_t;
 
@@ -204,11 +206,11 @@
     Random random;
     std::vector<std::unique_ptr<SimControl>> controls;
     std::vector<FakeEngine> engines;
-    std::set<NodeId> isolated;            ///< Cut off from controls and routers.
-    std::uint64_t loadsWithoutIntent = 0; ///< Loads that no committed intent stands behind.
+    std::set<NodeId> isolated;            ///< Controls cut off from controls, routers and engines.
+    std::uint64_t loadsWithoutIntent = 0; ///< Loads without a committed intent.
     std::uint64_t overcommitments = 0;    ///< Loads that did not fit the engine's memory.
     std::uint64_t ordersDelivered = 0;
-    std::function<void()> afterEvent; ///< Checks of a test.
+    std::function<void()> afterEvent; ///< Checks that a test runs after each event.
 
 private:
     auto makeRouters() -> void;
@@ -219,7 +221,7 @@
     std::map<std::pair<Instant, std::uint64_t>, std::function<void()>> events_;
     std::uint64_t nextEvent_ = 0;
     std::map<std::string, std::uint32_t> demand_;
-    std::set<std::string> newDemand_; ///< Models whose wish is new and not yet reported.
+    std::set<std::string> newDemand_; ///< Models whose new demand is not yet reported.
     std::uint64_t demandSequence_ = 0;
     std::uint64_t routerRound_ = 0;
 };
--- a/control/testing/tst_control.cpp
+++ b/control/testing/tst_control.cpp
@@ -1,4 +1,4 @@
-// The control's parts together, in virtual time.
+// Tests of the control's parts together, in virtual time.
 
 #include <algorithm>
 #include <vector>
@@ -30,7 +30,7 @@
     return { ChangeId { id }, "ann", Revision { expected }, state::PutModel { spec }, 0 };
 }
 
-/// A class, the model "m", and every engine registered.
+/// Creates a class and the model "m", and waits until every engine is registered.
 auto prepare(Simulation &sim) -> void
 {
     REQUIRE(sim.changeConfiguration(classChange("class", 0, "urgent")).first.ok());
@@ -48,13 +48,13 @@
     return false;
 }
 
-auto checkPromises(const Simulation &sim) -> void
+auto checkInvariants(const Simulation &sim) -> void
 {
     CHECK(sim.loadsWithoutIntent == 0);
     CHECK(sim.overcommitments == 0);
 }
 
-TEST_CASE("a cold model that all routers want is loaded once, and let go when idle")
+TEST_CASE("a cold model requested at all routers is loaded once, and unloaded when idle")
 {
     auto sim = Simulation { 1, 1 };
     sim.start();
@@ -65,7 +65,7 @@
     CHECK(sim.replicasLoaded("m") == 1);
     CHECK(sim.engines[0].loadsTaken + sim.engines[1].loadsTaken == 1);
     CHECK(sim.runUntil([&] { return sim.replicasLoaded("m") == 0; }, std::chrono::hours { 2 }));
-    checkPromises(sim);
+    checkInvariants(sim);
 }
 
 TEST_CASE("three controls elect a leader, accept a change, and all routers can read it")
@@ -95,7 +95,7 @@
     CHECK(tables.snapshot(false) == reader.control->node().tables().snapshot(false));
 }
 
-TEST_CASE("a reader far behind gets one snapshot and a slow one loses nothing")
+TEST_CASE("a subscriber far behind gets one snapshot, and a slow one misses no entry")
 {
     auto sim = Simulation { 3, 1 };
     sim.start();
@@ -120,7 +120,8 @@
     CHECK(tables.snapshot(false) == control.control->node().tables().snapshot(false));
 }
 
-TEST_CASE("of operators who race with equal numbers one wins, and a resend gets its answer")
+TEST_CASE("of concurrent changes with the same expected revision one wins, and a resend gets its "
+          "answer")
 {
     auto sim = Simulation { 4, 3 };
     sim.start();
@@ -147,14 +148,14 @@
     CHECK(sim.committed().configuration().revision == Revision { 3 });
 }
 
-TEST_CASE("a change is not accepted while a router may act on the one before")
+TEST_CASE("a change is not accepted while a router may act on the previous configuration")
 {
     auto sim = Simulation { 5, 3 };
     sim.start();
     prepare(sim);
     auto &leader = *sim.leader();
     auto done = false;
-    // A router that is there, renewed its lease and then says nothing more.
+    // A registered router that renewed its lease and then falls silent.
     auto join = state::RegisterRouter { NodeId { "r9" }, Incarnation { 9 }, {}, "127.0.0.1:9", 0 };
     leader.peers[NodeId { "r9" }] = std::make_shared<FakePeer>("r9");
     leader.control->onMessage(leader.peers[NodeId { "r9" }], { 1, proto::JoinRequest { join } });
@@ -169,7 +170,7 @@
     CHECK(sim.clock.now() - begun < 2 * length);
 }
 
-/// Runs a load to the point where the order is about to leave.
+/// Runs until a load order is about to be sent, then crashes the leader.
 auto crashBeforeSend(Simulation &sim) -> void
 {
     auto *leader = sim.leader();
@@ -183,8 +184,8 @@
     REQUIRE(sim.runUntil([&] { return crashed; }, seconds { 10 }));
 }
 
-TEST_CASE("a leader that dies between intent and send: the memory stays held, then it is decided "
-          "anew")
+TEST_CASE(
+        "a leader crashes between intent and send: the memory stays reserved until a new decision")
 {
     for (const auto checksFence : { false, true }) {
         CAPTURE(checksFence);
@@ -199,11 +200,11 @@
         const auto endpoint = sim.committed().replicas().begin()->first.second;
         CHECK(sim.committed().memoryHeldMb(endpoint) == 60);
         REQUIRE(sim.runUntil([&] { return isReady(sim, "m"); }, seconds { 60 }));
-        checkPromises(sim);
+        checkInvariants(sim);
     }
 }
 
-TEST_CASE("a leader that dies between send and outcome: the load is adopted and not repeated")
+TEST_CASE("a leader crashes between send and outcome: the load is adopted and not repeated")
 {
     for (const auto checksFence : { false, true }) {
         CAPTURE(checksFence);
@@ -222,11 +223,11 @@
         CHECK(sim.engines[0].loadsTaken == 1);
         if (checksFence)
             CHECK(sim.committed().replicas().begin()->second.fence > first);
-        checkPromises(sim);
+        checkInvariants(sim);
     }
 }
 
-TEST_CASE("a stale leader that was paused sends no order once it runs again")
+TEST_CASE("a stale leader sends no order when it resumes after a pause")
 {
     auto sim = Simulation { 8, 3 };
     sim.start();
@@ -245,7 +246,7 @@
     stale->resume();
     sim.run(seconds { 5 });
     CHECK(sim.ordersDelivered == delivered);
-    checkPromises(sim);
+    checkInvariants(sim);
 }
 
 TEST_CASE(
@@ -272,10 +273,10 @@
     sim.heal();
     sim.run(seconds { 5 });
     CHECK(sim.ordersDelivered == 0);
-    checkPromises(sim);
+    checkInvariants(sim);
 }
 
-TEST_CASE("an order that reaches an engine's next life finds its memory still held")
+TEST_CASE("an order that reaches an engine's next incarnation finds its memory still reserved")
 {
     auto options = SimulationOptions {};
     options.engines = 1;
@@ -293,18 +294,18 @@
         };
         sim.setDemand("m", 1);
         REQUIRE(sim.runUntil([&] { return restarted; }, seconds { 10 }));
-        sim.setDemand("m", 0); // Nothing else may stand behind the order when it arrives.
+        sim.setDemand("m", 0); // No demand may justify the load when the order arrives.
         sim.run(seconds { 10 });
         CHECK(sim.ordersDelivered > 0);
-        checkPromises(sim);
+        checkInvariants(sim);
     }
 }
 
-TEST_CASE("an order cut off on the wire that arrives late takes no memory that was given away")
+TEST_CASE("an aborted order that arrives late takes no memory that was assigned to another load")
 {
     auto options = SimulationOptions {};
     options.engines = 1;
-    options.maxTransit = milliseconds { 1900 }; // Just below the doubt time of 2 s.
+    options.maxTransit = milliseconds { 1900 }; // Just below the in-doubt delay of 2 s.
     for (auto seed = std::uint64_t { 1 }; seed <= 20; ++seed) {
         CAPTURE(seed);
         auto sim = Simulation { seed, 3, options };
@@ -315,11 +316,11 @@
         sim.run(milliseconds { 20 });
         sim.leader()->crash();
         REQUIRE(sim.runUntil([&] { return isReady(sim, "m"); }, seconds { 60 }));
-        checkPromises(sim);
+        checkInvariants(sim);
     }
 }
 
-TEST_CASE("a control that was down for hundreds of changes comes back equal")
+TEST_CASE("a control that was down for hundreds of changes catches up to equal tables")
 {
     auto options = SimulationOptions {};
     options.snapshotEvery = 100;
@@ -342,7 +343,7 @@
     CHECK(down->control->node().tables().configuration().revision == Revision { 402 });
 }
 
-TEST_CASE("models that an engine holds already are adopted, and what it lost is noticed")
+TEST_CASE("models found loaded on an engine are adopted, and lost ones are settled as unloaded")
 {
     auto options = SimulationOptions {};
     options.engines = 1;
@@ -369,10 +370,10 @@
     auto &victim = sim.engines[0].models.empty() ? sim.engines[1] : sim.engines[0];
     sim.restart(victim);
     REQUIRE(sim.runUntil([&] { return isReady(sim, "m"); }, seconds { 60 }));
-    checkPromises(sim);
+    checkInvariants(sim);
 }
 
-TEST_CASE("the loss of a failure domain suspects its endpoints and unloads nothing there")
+TEST_CASE("after the loss of a failure domain its endpoints are suspected and nothing is unloaded")
 {
     auto options = SimulationOptions {};
     options.engines = 9;
@@ -395,7 +396,7 @@
     };
     REQUIRE(sim.runUntil(allSuspected, seconds { 10 }));
     sim.run(seconds { 30 });
-    // The planner may foresee one more use of the model and load it elsewhere for that.
+    // The planner may predict another request for the model and load it elsewhere.
     CHECK(sim.ordersDelivered <= orders + 1);
     CHECK(sim.committed().memoryHeldMb(held) == 60);
     CHECK(sim.engines[0].models.size() + sim.engines[3].models.size() + sim.engines[6].models.size()
@@ -421,7 +422,8 @@
     return request;
 }
 
-auto askClaim(Simulation &sim, const std::string &router, std::uint64_t body) -> proto::ClaimReply
+auto requestClaim(Simulation &sim, const std::string &router, std::uint64_t body)
+        -> proto::ClaimReply
 {
     REQUIRE(sim.runUntil([&] { return sim.leader() != nullptr; }, seconds { 20 }));
     auto &leader = *sim.leader();
@@ -438,18 +440,18 @@
     return replies.front();
 }
 
-TEST_CASE("a claim is granted to one router, and survives the leader")
+TEST_CASE("a claim is granted to one router, and survives the loss of the leader")
 {
     auto sim = Simulation { 13, 3 };
     sim.start();
     prepare(sim);
-    CHECK(askClaim(sim, "r1", 1).verdict == proto::ClaimVerdict::Granted);
-    CHECK(askClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::InProgress);
+    CHECK(requestClaim(sim, "r1", 1).verdict == proto::ClaimVerdict::Granted);
+    CHECK(requestClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::InProgress);
     sim.leader()->crash();
-    CHECK(askClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::InProgress);
-    CHECK(askClaim(sim, "r2", 2).verdict == proto::ClaimVerdict::KeyReused);
+    CHECK(requestClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::InProgress);
+    CHECK(requestClaim(sim, "r2", 2).verdict == proto::ClaimVerdict::KeyReused);
     sim.run(seconds { 2 });
-    CHECK(askClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::Unknown);
+    CHECK(requestClaim(sim, "r2", 1).verdict == proto::ClaimVerdict::Unknown);
     auto end = state::EndClaim {};
     end.key = IdempotencyKey { "slab-12" };
     end.router = NodeId { "r1" };
@@ -459,12 +461,12 @@
     auto &leader = *sim.leader();
     leader.control->onMessage(leader.peers.at(NodeId { "r1" }), { 6, proto::ClaimEnd { end } });
     sim.run(seconds { 1 });
-    const auto stored = askClaim(sim, "r2", 1);
+    const auto stored = requestClaim(sim, "r2", 1);
     CHECK(stored.verdict == proto::ClaimVerdict::Stored);
     CHECK(stored.answer == "cut");
 }
 
-TEST_CASE("claims of one turn of the event loop make one sync")
+TEST_CASE("claims made in one turn of the event loop share one sync")
 {
     auto sim = Simulation { 14, 1 };
     sim.start();
@@ -482,7 +484,7 @@
     CHECK(leader.store.syncs() - before <= 2);
 }
 
-TEST_CASE("the burn report is made of what the routers counted")
+TEST_CASE("the burn report is built from the counts of the routers")
 {
     auto sim = Simulation { 16, 1 };
     sim.start();
@@ -509,7 +511,7 @@
     CHECK(page.find("urgent") != std::string::npos);
 }
 
-TEST_CASE("a control that does not lead says so and names who does")
+TEST_CASE("a control that is not the leader answers NotLeader and names the leader")
 {
     auto sim = Simulation { 15, 3 };
     sim.start();
--- a/control/testing/tst_faults.cpp
+++ b/control/testing/tst_faults.cpp
@@ -1,9 +1,9 @@
-// Long seeded runs under faults: crashes, pauses and partitions of controls, restarts of
-// engines, orders that arrive late, changes of demand and of configuration, two at once.
+// Long seeded runs under faults: crashes, pauses and partitions of controls, restarts of engines,
+// orders that arrive late, and changes of demand and configuration. Faults may overlap.
 //
-// Held throughout: no load without a committed intent behind it, no engine's memory
-// overcommitted, the revision never falls, tables are equal at equal index. At the end,
-// when all is healed, what the engines hold is what the tables say.
+// Checked throughout: every load has a committed intent, no engine's memory is overcommitted, the
+// revision never decreases, and tables with equal applied index are equal. At the end, after all
+// faults are healed, the engines hold exactly the models that the tables list.
 
 #include <cstdlib>
 
@@ -48,13 +48,13 @@
     auto configure() -> void;
     auto step() -> void;
     auto changeOneModel() -> void;
-    auto someControl() -> SimControl &
+    auto randomControl() -> SimControl &
     {
         return *sim_.controls[random_.below(sim_.controls.size())];
     }
     auto heal() -> void;
     auto check() -> void;
-    auto restartLater(SimControl &control) -> void;
+    auto scheduleRestart(SimControl &control) -> void;
 
     Simulation sim_;
     Random random_;
@@ -91,14 +91,14 @@
 {
     switch (random_.below(10)) {
     case 0:
-        if (auto &control = someControl(); control.control) {
+        if (auto &control = randomControl(); control.control) {
             control.crash();
-            restartLater(control);
+            scheduleRestart(control);
             ++faults_;
         }
         return;
     case 1:
-        if (auto &control = someControl(); control.control && !control.paused) {
+        if (auto &control = randomControl(); control.control && !control.paused) {
             control.pause();
             sim_.schedule(milliseconds { 200 + random_.below(6000) },
                           [&control] { control.resume(); });
@@ -106,7 +106,7 @@
         }
         return;
     case 2:
-        sim_.isolate(someControl().self.node);
+        sim_.isolate(randomControl().self.node);
         sim_.schedule(milliseconds { 200 + random_.below(6000) }, [this] { sim_.heal(); });
         ++faults_;
         return;
@@ -129,7 +129,7 @@
     }
 }
 
-// Not waited for: its answer may be lost with the leader.
+// Does not wait for the outcome, which may be lost with the leader.
 auto FaultRun::changeOneModel() -> void
 {
     auto *leader = sim_.leader();
@@ -143,7 +143,7 @@
                                          [](const absl::Status &, Revision) {});
 }
 
-auto FaultRun::restartLater(SimControl &control) -> void
+auto FaultRun::scheduleRestart(SimControl &control) -> void
 {
     sim_.schedule(milliseconds { 100 + random_.below(5000) }, [&control] {
         if (!control.control)
@@ -172,7 +172,7 @@
     }
 }
 
-/// @return what differs between the engines and the tables, or an empty text
+/// @return the first difference between the engines and the tables, or an empty string
 auto FaultRun::mismatch() -> std::string
 {
     const auto &tables = sim_.committed();
@@ -219,19 +219,20 @@
     CHECK(faults > 0);
 }
 
-/// More seeds than a build has time for, when asked: FIGRACK_SEEDS=200.
+/// Number of seeds. Set FIGRACK_SEEDS, for example to 200, for more seeds than an ordinary test
+/// run has time for.
 auto seedCount(std::uint64_t usual) -> std::uint64_t
 {
     const auto *wanted = std::getenv("FIGRACK_SEEDS");
     return wanted ? std::strtoull(wanted, nullptr, 10) : usual;
 }
 
-TEST_CASE("faults of every kind, engines that ignore fences")
+TEST_CASE("all kinds of faults, with engines that ignore fences")
 {
     runSeeds(1, seedCount(15), false);
 }
 
-TEST_CASE("faults of every kind, engines that check fences")
+TEST_CASE("all kinds of faults, with engines that check fences")
 {
     runSeeds(1001, 1000 + seedCount(15), true);
 }
--- a/control/testing/tst_ordermachine.cpp
+++ b/control/testing/tst_ordermachine.cpp
@@ -1,4 +1,4 @@
-// What settles an order, and what does not.
+// Tests of which answers and observations settle an order.
 
 #include <doctest/doctest.h>
 
@@ -21,7 +21,7 @@
     return Instant { Duration { nanos } };
 }
 
-TEST_CASE("a load that was taken is settled by an observation asked for after the answer")
+TEST_CASE("an accepted load is settled by an observation requested after the answer")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
     machine.onObservation(Observed::Ready, at(0.5));
@@ -36,7 +36,7 @@
     CHECK(machine.phase() == OrderPhase::Settled);
 }
 
-TEST_CASE("a load that was taken and is gone has failed")
+TEST_CASE("an accepted load whose model is absent has failed")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
     machine.onAnswer(OrderReply::Taken, at(1));
@@ -44,7 +44,7 @@
     CHECK(machine.result() == OrderResult::Failed);
 }
 
-TEST_CASE("an order that was declined or never left is settled by the answer")
+TEST_CASE("an order that was declined or not sent is settled by the answer")
 {
     const auto resultOf = [](OrderAction action, OrderReply reply) {
         auto machine = OrderMachine { action, options };
@@ -58,7 +58,7 @@
     CHECK_FALSE(resultOf(OrderAction::Load, OrderReply::Unknown).has_value());
 }
 
-TEST_CASE("with an earlier order under way no answer but arrival ends the doubt")
+TEST_CASE("while an earlier order may arrive, only an answer that proves arrival avoids doubt")
 {
     for (const auto reply : { OrderReply::Refused, OrderReply::StaleFence, OrderReply::NotSent,
                               OrderReply::Unknown }) {
@@ -81,7 +81,7 @@
     CHECK(machine.result() == OrderResult::Loaded);
 }
 
-TEST_CASE("in doubt, absence settles a load only after the doubt time")
+TEST_CASE("in doubt, absence settles a load only after the maximum order delay")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
     machine.onAnswer(OrderReply::Unknown, at(1));
@@ -92,7 +92,7 @@
     CHECK(machine.result() == OrderResult::Failed);
 }
 
-TEST_CASE("in doubt, an order that arrives late ends an absence")
+TEST_CASE("in doubt, an order that arrives late ends the period of absence")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
     machine.onAnswer(OrderReply::Unknown, at(1));
@@ -102,7 +102,7 @@
     CHECK(machine.result() == OrderResult::Failed); // It arrived, so it cannot arrive later.
 }
 
-TEST_CASE("a doubt begun anew waits anew")
+TEST_CASE("when doubt begins again, the full delay applies again")
 {
     auto machine = OrderMachine { OrderAction::Load, options };
     machine.markInDoubt(at(0));
--- a/control/testing/tst_parts.cpp
+++ b/control/testing/tst_parts.cpp
@@ -1,4 +1,4 @@
-// Demand, claims' verdicts, the operators' JSON and the settings.
+// Tests of the demand, the verdicts of claims, the operators' JSON and the settings.
 
 #include <doctest/doctest.h>
 
@@ -28,7 +28,7 @@
 
 const auto cell = DemandCell { ModelId { "m" }, ClassId { "urgent" } };
 
-TEST_CASE("a burst at many routers is one demand, and a silent router drops out of it")
+TEST_CASE("a burst at many routers is one demand, and a silent router is no longer counted")
 {
     auto clock = ManualClock {};
     auto demand = Demand { {}, clock };
@@ -48,7 +48,7 @@
     CHECK(demand.sum(cell, 0).queued == 0);
 }
 
-TEST_CASE("the tightest start is on the planner's scale")
+TEST_CASE("the tightest start is in the planner's time")
 {
     auto clock = ManualClock {};
     auto demand = Demand { {}, clock };
@@ -57,7 +57,7 @@
     CHECK(demand.sum(cell, 1000).tightestStart == 1300);
 }
 
-TEST_CASE("a claim's verdict follows the claim that stands")
+TEST_CASE("a claim's verdict follows from the claim in the tables")
 {
     auto mine = state::TakeClaim {};
     mine.router = NodeId { "r1" };
@@ -88,7 +88,8 @@
     return std::string { errorArgument(change.status()) };
 }
 
-TEST_CASE("an operator's change is read whole or refused by the field at fault")
+TEST_CASE(
+        "an operator's change is parsed completely or rejected with the name of the invalid field")
 {
     const auto change = parseChange(
             R"({"change":"c1","expected":4,"author":"ann",
@@ -117,7 +118,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("the other bodies of operators are read as strictly")
+TEST_CASE("the other request bodies of operators are parsed as strictly")
 {
     CHECK(*parseDraining(R"({"draining":true})"));
     CHECK_FALSE(parseDraining(R"({"draining":1})").ok());
@@ -143,7 +144,7 @@
 token_file = tokens
 )" };
 
-TEST_CASE("settings make a founder, and a control that is not to found lists no founders")
+TEST_CASE("settings define a founder, and a control with found = false lists no founders")
 {
     const auto settings = Settings::parse(sample, "sample", controlSchema());
     REQUIRE(settings.ok());
@@ -159,7 +160,7 @@
     CHECK(joiner->control.node.replica.founders.empty());
 }
 
-TEST_CASE("settings that do not go together are refused by key")
+TEST_CASE("inconsistent settings are rejected with the name of the key")
 {
     const auto fault = [](const std::string &from, const std::string &to) {
         auto text = std::string { sample };
