--- a/control/claims.cpp
+++ b/control/claims.cpp
@@ -1,6 +1,6 @@
-// The deadline in the log is the leader's wall time and only makes an abandoned claim
-// readable as unknown; what stops a paused router from dispatching late is the
-// router's own clock.
+// The deadline in the log is in the leader's wall time. Its only effect is that an abandoned claim
+// can be read as unknown once the deadline has passed. A paused router is kept from dispatching
+// late by its own clock.
 
 #include "control/claims.h"
 
@@ -24,17 +24,17 @@
              row.ended.answer };
 }
 
-auto isGrantTo(const state::ClaimRow &row, const state::TakeClaim &mine) -> bool
+auto isGrantTo(const state::ClaimRow &row, const state::TakeClaim &requested) -> bool
 {
-    return row.state == state::ClaimState::Taken && row.taken.router == mine.router
-            && row.taken.incarnation == mine.incarnation && row.taken.deadline == mine.deadline
-            && row.taken.at == mine.at;
+    return row.state == state::ClaimState::Taken && row.taken.router == requested.router
+            && row.taken.incarnation == requested.incarnation
+            && row.taken.deadline == requested.deadline && row.taken.at == requested.at;
 }
 
 } // namespace
 
 auto claimReply(const absl::Status &status, const state::ClaimRow *row,
-                const state::TakeClaim &mine) -> proto::ClaimReply
+                const state::TakeClaim &requested) -> proto::ClaimReply
 {
     auto reply = proto::ClaimReply {};
     if (errorKind(status) == ErrorKind::KeyReused)
@@ -43,7 +43,7 @@
         reply.verdict = proto::ClaimVerdict::InProgress;
     else if (status.ok() && row && row->state == state::ClaimState::Done)
         reply = storedReply(*row);
-    else if (status.ok() && row && isGrantTo(*row, mine))
+    else if (status.ok() && row && isGrantTo(*row, requested))
         reply.verdict = proto::ClaimVerdict::Granted;
     return reply;
 }
@@ -96,7 +96,7 @@
     auto command = end.end;
     command.at = clock_.wallNow().time_since_epoch().count();
     if (command.answer.size() > state::maxStoredAnswerBytes)
-        command.answer.resize(state::maxStoredAnswerBytes + 1); // Over the bound: not stored.
+        command.answer.resize(state::maxStoredAnswerBytes + 1); // Over the limit: not stored.
     node_.propose(command, [this, caller](const absl::StatusOr<AppliedCommand> &result) {
         if (!result.ok())
             caller.fail(result.status(), node_.status().leader);
--- a/control/endpoints.cpp
+++ b/control/endpoints.cpp
@@ -1,6 +1,7 @@
-// A report that differs from the registration makes the leader propose the difference:
-// a whole registration, or only the draining flag. The detector says who is alive; its
-// suspicions and recoveries become commands, so that all routers agree on whom to use.
+// If a report differs from the registration, the leader proposes the difference: a whole
+// registration, or only the draining flag. The failure detector decides which endpoints are
+// alive. Its suspicions and recoveries become commands, so that all routers use the same set of
+// endpoints.
 
 #include "control/endpoints.h"
 
@@ -32,21 +33,21 @@
 
 auto Endpoints::onReport(const proto::EndpointReport &report) -> void
 {
-    if (!isNews(report))
+    if (!isNewer(report))
         return;
     const auto &id = report.spec.id;
     auto &row = rows_[id];
     row.report = report;
-    row.heardAt = clock_.now();
+    row.receivedAt = clock_.now();
     changed_.insert(id);
     (void)detector_->heartbeat(peerOf(id), report.spec.incarnation, report.spec.domain);
     if (leads_)
-        proposeFor(row);
+        proposeUpdate(row);
     if (onReport_)
         onReport_(report);
 }
 
-auto Endpoints::isNews(const proto::EndpointReport &report) const -> bool
+auto Endpoints::isNewer(const proto::EndpointReport &report) const -> bool
 {
     const auto found = rows_.find(report.spec.id);
     if (found == rows_.end())
@@ -57,7 +58,7 @@
     return report.sequence > last.sequence;
 }
 
-auto Endpoints::proposeFor(Row &row) -> void
+auto Endpoints::proposeUpdate(Row &row) -> void
 {
     const auto now = clock_.now();
     if (now < row.proposeAfter)
@@ -101,8 +102,8 @@
     expectAll();
     for (auto &[id, row] : rows_) {
         row.proposeAfter = {};
-        if (clock_.now() - row.heardAt < options_.detector.minTimeout)
-            proposeFor(row);
+        if (clock_.now() - row.receivedAt < options_.detector.minTimeout)
+            proposeUpdate(row);
     }
 }
 
@@ -112,7 +113,8 @@
     silentSince_.clear();
 }
 
-// Nobody is held silent for a time in which this control was not listening.
+// Restarts the detector, so that time in which this control was not listening does not count
+// as silence of an endpoint.
 auto Endpoints::expectAll() -> void
 {
     detector_.emplace(options_.detector, clock_);
@@ -197,7 +199,7 @@
         if (found == rows.end() || now - since < options_.forgetAfter
             || detector_->isDomainSuspected(found->second.spec.domain))
             continue;
-        since = now; // Proposed again after a while if this one is lost.
+        since = now; // If this proposal is lost, it is repeated after forgetAfter.
         LogEvent(LogLevel::Warning, "endpoint_forgotten").with("endpoint", id);
         node_.propose(state::ForgetEndpoint { id, found->second.spec.incarnation },
                       [](const absl::StatusOr<AppliedCommand> &) {});
@@ -219,7 +221,7 @@
     auto result = proto::LoadRow {};
     result.endpoint = row.report.spec.id;
     result.sequence = row.report.sequence;
-    const auto age = clock_.now() - row.heardAt;
+    const auto age = clock_.now() - row.receivedAt;
     result.ageMs = std::chrono::duration_cast<std::chrono::milliseconds>(age).count();
     result.replicas = row.report.replicas;
     return result;
@@ -236,7 +238,7 @@
     return digest;
 }
 
-auto Endpoints::wholeDigest() const -> proto::LoadDigest
+auto Endpoints::fullDigest() const -> proto::LoadDigest
 {
     auto digest = proto::LoadDigest {};
     for (const auto &[id, row] : rows_)
