--- a/router/announce.cpp
+++ b/router/announce.cpp
@@ -1,6 +1,7 @@
-// The TCP peer's address is the one thing about an announcer that it cannot make up, so names and
-// addresses are bound to it. A live endpoint is one that the tables hold and do not suspect; after
-// a crash its name and address are free again as soon as its announcements have lapsed.
+// The TCP peer's address is the only information about an announcing host that
+// the host cannot forge, so names and addresses are bound to it. An endpoint is
+// live if the tables contain it and do not mark it as suspected. After a crash,
+// its name and address become free as soon as its announcements have expired.
 
 #include "router/announce.h"
 
--- a/router/cachepoll.cpp
+++ b/router/cachepoll.cpp
@@ -1,5 +1,6 @@
-// The rounds go through the engines in the order of their names from where the last one stopped,
-// so that with more engines than polls a round each gets its turn.
+// Each round polls the engines in the order of their names, starting after the
+// engine polled last, so that every engine is polled in turn even if there are
+// more engines than polls per round.
 
 #include "router/cachepoll.h"
 
@@ -17,7 +18,7 @@
 namespace json = boost::json;
 
 constexpr auto maxPolls = std::size_t { 64 };
-constexpr auto forgetAfter = std::chrono::minutes { 1 };
+constexpr auto retention = std::chrono::minutes { 1 };
 constexpr auto pollTimeout = std::chrono::milliseconds { 500 };
 constexpr auto maxEvents = std::size_t { 65536 };
 
@@ -99,7 +100,7 @@
         engine.lastUsed = now;
     }
     std::erase_if(engines_,
-                  [now](const auto &entry) { return now - entry.second.lastUsed > forgetAfter; });
+                  [now](const auto &entry) { return now - entry.second.lastUsed > retention; });
     auto polls = std::min(maxPolls, engines_.size());
     for (; polls > 0; --polls) {
         auto next = engines_.upper_bound(cursor_);
@@ -128,7 +129,7 @@
     const auto events = parseCacheEvents(id, response->body);
     if (!events.ok())
         co_return false;
-    // Of a snapshot, first is the sequence that follows it.
+    // In a snapshot, `first` is the sequence number that follows the snapshot.
     const auto count = events->snapshot ? 0 : events->added.size() + events->removed.size();
     engine.next = events->firstSequence + count;
     if (events->snapshot || count > 0)
--- a/router/cachepoll.h
+++ b/router/cachepoll.h
@@ -1,9 +1,11 @@
 // Polls the prefix-cache events of the engines that this router dispatches to.
 //
-// Only engines used within a minute are asked, and at most maxPolls a round, so
-// that the cost follows this router's own traffic and not the size of the fleet.
-// Guarantees: one poll of an engine at a time; answers are bounded; an engine
-// that answers badly is left alone till it is used again.
+// Only engines used within the last minute are polled, and at most maxPolls of
+// them per round, so that the cost depends on this router's own traffic and not on
+// the size of the fleet.
+//
+// Guarantees: an engine has at most one poll in progress. Answers are bounded in
+// size. An engine that answers with an error is not polled until it is used again.
 
 #ifndef FIGRACK_ROUTER_CACHEPOLL_H
 #define FIGRACK_ROUTER_CACHEPOLL_H
@@ -22,9 +24,9 @@
 
 namespace figrack::router {
 
-/// @param endpoint whose answer it is
+/// @param endpoint the endpoint that sent the answer
 /// @param json the body of GET /figrack/cache-events
-/// @return the events; Malformed when the JSON is not as docs/API.md has it
+/// @return the events, or Malformed if the JSON does not follow docs/API.md
 auto parseCacheEvents(const EndpointId &endpoint, std::string_view json)
         -> absl::StatusOr<policy::CacheEvents>;
 
@@ -32,7 +34,7 @@
 {
 public:
     CachePoller(const Clock &clock, Scheduler &scheduler, http::Client &client);
-    /// Polls what is due, one engine after another. Never run twice at once.
+    /// Polls the next engines, one after another. Must not run concurrently with itself.
     auto round() -> boost::asio::awaitable<void>;
 
 private:
@@ -40,7 +42,7 @@
     {
         Address address;
         Instant lastUsed;
-        std::uint64_t next = 0; ///< Sequence of the first event not seen.
+        std::uint64_t next = 0; ///< Sequence number of the first event not received yet.
     };
     auto pollOne(const EndpointId &id, Engine &engine) -> boost::asio::awaitable<bool>;
 
@@ -48,7 +50,7 @@
     Scheduler &scheduler_;
     http::Client &client_;
     std::map<EndpointId, Engine> engines_;
-    EndpointId cursor_; ///< The last one polled; the next round goes on after it.
+    EndpointId cursor_; ///< The engine polled last; the next round continues after it.
 };
 
 } // namespace figrack::router
--- a/router/callers.cpp
+++ b/router/callers.cpp
@@ -1,5 +1,6 @@
-// handle() sorts by path; serve() takes one request for work from its parse to its record. There is
-// one place each where an answer is sent, a claim ended and a record written.
+// handle() dispatches by path. serve() processes one request for work from parsing
+// to its record. There is exactly one place each that sends the answer to a
+// request for work, ends its claim and writes its record.
 
 #include "router/callers.h"
 
@@ -22,8 +23,8 @@
 namespace asio = boost::asio;
 
 constexpr auto servicesPath = std::string_view { "/v1/services/" };
-/// When to ask another router again that has nothing against it.
-constexpr auto elsewhereRetryMs = Millis { 0 };
+/// The retry delay given when this router refuses for a reason that other routers do not share.
+constexpr auto otherRouterRetryMs = Millis { 0 };
 constexpr auto inProgressRetryMs = Millis { 1000 };
 
 auto jsonResponse(const json::value &value) -> http::Response
@@ -43,11 +44,12 @@
                 && path.size() > servicesPath.size());
 }
 
-/// Turns the routers of the caller's domain, and the others, so that callers begin with different
-/// ones.
-auto spread(std::vector<RouterAddress> &routers, const DomainId &domain, std::uint64_t turn) -> void
+/// Rotates the routers of the caller's domain, and the other routers separately, so that callers
+/// start with different ones.
+auto rotateRouters(std::vector<RouterAddress> &routers, const DomainId &domain, std::uint64_t turn)
+        -> void
 {
-    const auto turned = [turn](auto first, auto last) {
+    const auto rotateRange = [turn](auto first, auto last) {
         const auto size = static_cast<std::uint64_t>(last - first);
         if (size > 1)
             std::rotate(first, first + static_cast<std::ptrdiff_t>(turn % size), last);
@@ -55,25 +57,26 @@
     const auto others = std::find_if(routers.begin(), routers.end(), [&domain](const auto &router) {
         return router.domain != domain;
     });
-    turned(routers.begin(), others);
-    turned(others, routers.end());
+    rotateRange(routers.begin(), others);
+    rotateRange(others, routers.end());
 }
 
-/// Counts a request while it is in progress.
-class ProgressMark
+/// Counts a request as in progress during the object's lifetime.
+class InProgressCounter
 {
 public:
-    explicit ProgressMark(std::shared_ptr<std::atomic<std::size_t>> count)
+    explicit InProgressCounter(std::shared_ptr<std::atomic<std::size_t>> count)
         : count_(std::move(count))
     {
         ++*count_;
     }
-    ~ProgressMark() { --*count_; }
-    ProgressMark(const ProgressMark &) = delete;
-    auto operator=(const ProgressMark &) -> ProgressMark & = delete;
+    ~InProgressCounter() { --*count_; }
+    InProgressCounter(const InProgressCounter &) = delete;
+    auto operator=(const InProgressCounter &) -> InProgressCounter & = delete;
 
 private:
-    std::shared_ptr<std::atomic<std::size_t>> count_; ///< A stopped process may drop it last.
+    std::shared_ptr<std::atomic<std::size_t>> count_; ///< Shared, because a request may outlive
+                                                      ///< Callers when the process stops.
 };
 
 auto outcomeOf(const ClaimRefused &refused) -> Outcome
@@ -81,7 +84,7 @@
     auto outcome = Outcome {};
     outcome.status = refused.status;
     const auto kind = errorKind(refused.status);
-    // What the controls say among themselves is not the caller's business.
+    // Callers do not get details of errors between the router and the controls.
     if (kind == ErrorKind::NotLeader || kind == ErrorKind::Timeout
         || kind == ErrorKind::EndpointFailed)
         outcome.status = makeError(ErrorKind::NoQuorum, "claim of the idempotency key");
@@ -96,8 +99,8 @@
     auto outcome = Outcome {};
     outcome.end = report::RequestEnd::Answered;
     outcome.ran = Ran::Unknown;
-    outcome.whole = true;
-    outcome.answerIsWhole = true;
+    outcome.isComplete = true;
+    outcome.answerIsComplete = true;
     outcome.httpStatus = stored.status;
     outcome.contentType = std::move(stored.contentType);
     outcome.answer = std::move(stored.answer);
@@ -164,7 +167,7 @@
     auto list = json::array {};
     const auto domain = DomainId { std::string { request.header("X-Figrack-Domain") } };
     auto routers = parts_.view.routers(domain);
-    spread(routers, domain, nextAddress_.fetch_add(1));
+    rotateRouters(routers, domain, nextAddress_.fetch_add(1));
     for (const auto &router : routers) {
         list.push_back(json::object { { "address", router.address },
                                       { "domain", router.domain.value() } });
@@ -195,7 +198,7 @@
     gauges.waiting = parts_.scheduler.waiting();
     gauges.running = parts_.scheduler.running();
     gauges.retries = parts_.dispatcher.retries();
-    gauges.openKeys = parts_.claims.openKeys();
+    gauges.heldKeys = parts_.claims.heldKeys();
     gauges.current = parts_.isCurrent();
     gauges.revision = parts_.view.revision().value();
     gauges.appliedIndex = parts_.view.appliedIndex().value();
@@ -207,9 +210,9 @@
 auto Callers::ready() const -> http::Response
 {
     if (parts_.drain.phase() != DrainPhase::Serving)
-        return refusal(makeError(ErrorKind::Draining, "router"), Ran::NotRun, elsewhereRetryMs);
+        return refusal(makeError(ErrorKind::Draining, "router"), Ran::NotRun, otherRouterRetryMs);
     if (!parts_.isCurrent())
-        return refusal(makeError(ErrorKind::NotCurrent, "router"), Ran::NotRun, elsewhereRetryMs);
+        return refusal(makeError(ErrorKind::NotCurrent, "router"), Ran::NotRun, otherRouterRetryMs);
     return textResponse(200, "ready\n");
 }
 
@@ -223,7 +226,8 @@
                 .with(report.status());
         return http::errorResponse(report.status());
     }
-    // Here new work stops at once; at the other routers once the tables say so.
+    // A draining endpoint receives no new work from this router immediately, and none from the
+    // other routers once their tables show it.
     parts_.view.setAnnouncedDraining(report->spec.id, report->spec.incarnation, report->draining);
     parts_.onAnnounced(*report);
     auto routers = std::vector<std::string> {};
@@ -258,11 +262,11 @@
         -> asio::awaitable<void>
 {
     const auto arrived = parts_.clock.now();
-    const auto mark = ProgressMark { inProgress_ };
+    const auto mark = InProgressCounter { inProgress_ };
     auto work = Work {};
     auto outcome = Outcome {};
     outcome.status = mayTakeWork();
-    outcome.retryAfter = elsewhereRetryMs;
+    outcome.retryAfter = otherRouterRetryMs;
     if (outcome.status.ok()) {
         auto parsed = parseWork(request, parts_.view);
         outcome.status = parsed.status();
@@ -293,9 +297,9 @@
 auto Callers::runClaimed(Work &work, CallerState &caller, http::Responder &responder)
         -> asio::awaitable<Outcome>
 {
-    const auto runsFor = std::chrono::milliseconds { work.finishTarget };
-    auto claim
-            = co_await parts_.claims.take(work.key, bodyHash(work.enginePath, work.body), runsFor);
+    const auto maxRunTime = std::chrono::milliseconds { work.finishTarget };
+    auto claim = co_await parts_.claims.acquire(work.key, bodyHash(work.enginePath, work.body),
+                                                maxRunTime);
     if (auto *stored = std::get_if<ClaimStored>(&claim))
         co_return outcomeOf(std::move(*stored));
     if (auto *refused = std::get_if<ClaimRefused>(&claim))
@@ -309,11 +313,11 @@
 
 auto Callers::endClaim(const Work &work, const Outcome &outcome) -> void
 {
-    if (outcome.whole && outcome.answerIsWhole
+    if (outcome.isComplete && outcome.answerIsComplete
         && outcome.answer.size() <= state::maxStoredAnswerBytes) {
         parts_.claims.end(work.key, state::ClaimState::Done, outcome.httpStatus,
                           outcome.contentType, outcome.answer);
-    } else if (outcome.whole) {
+    } else if (outcome.isComplete) {
         parts_.claims.end(work.key, state::ClaimState::Done, outcome.httpStatus, notStoredType, {});
     } else if (outcome.ran == Ran::NotRun) {
         parts_.claims.end(work.key, state::ClaimState::NotRun, 0, {}, {});
--- a/router/callers.h
+++ b/router/callers.h
@@ -1,11 +1,12 @@
-// Everything that a router answers over HTTP; docs/API.md is the contract.
+// Answers all HTTP requests to a router; docs/API.md specifies them.
 //
 //   auto callers = Callers { parts };
 //   auto server = http::Server { context, options, callers.handler() };
 //
-// Guarantees: each request ends in exactly one answer and one record; a refusal
-// says whether the work ran, when to come back and where; new work is taken only
-// while the configuration is known to be current and the router does not refuse.
+// Guarantees: each request gets exactly one answer, and each request for work
+// exactly one record. A refusal states whether the work ran and when and where to retry. New work
+// is accepted only while the configuration is known to be current and the router is not in its
+// refusing or stopped drain phase.
 
 #ifndef FIGRACK_ROUTER_CALLERS_H
 #define FIGRACK_ROUTER_CALLERS_H
@@ -27,7 +28,7 @@
 
 namespace figrack::router {
 
-/// What the answers are made from. All of it outlives the Callers.
+/// The objects that Callers uses. All of them must outlive it.
 struct CallerParts
 {
     const RouterOptions &options;
@@ -40,8 +41,9 @@
     Metrics &metrics;
     report::Recorder &recorder;
     std::function<bool()> isCurrent;
-    std::function<void(const proto::EndpointReport &)> onAnnounced; ///< To the controls.
-    Incarnation incarnation; ///< Makes request ids unique over restarts.
+    std::function<void(const proto::EndpointReport &)>
+            onAnnounced;     ///< Forwards the report to the controls.
+    Incarnation incarnation; ///< Makes request ids unique across restarts.
 };
 
 class Callers
@@ -51,7 +53,7 @@
     auto handle(const http::Request &request, http::Responder &responder)
             -> boost::asio::awaitable<void>;
     auto handler() -> http::Handler;
-    /// @return requests for work that have not ended
+    /// @return the number of requests for work that have not ended
     auto inProgress() const -> std::size_t { return *inProgress_; }
 
 private:
--- a/router/callerstate.h
+++ b/router/callerstate.h
@@ -1,7 +1,8 @@
-// Whether a caller is still there, and what to stop when it goes.
+// Tracks whether a caller is still connected, and what to stop when it disconnects.
 //
-// Lives as long as its request. All calls run on the request's strand, as does
-// the server's notice that the peer is gone; no locks.
+// The object lives as long as its request. All calls, including the server's
+// notification that the peer disconnected, run on the request's strand, so there
+// are no locks.
 
 #ifndef FIGRACK_ROUTER_CALLERSTATE_H
 #define FIGRACK_ROUTER_CALLERSTATE_H
@@ -14,15 +15,15 @@
 class CallerState
 {
 public:
-    /// @param keepsRunning true for work that goes on without its caller: claimed requests, whose
-    /// answer is stored for the resend
+    /// @param keepsRunning true for work that continues after the caller has disconnected: claimed
+    /// requests, whose answer is stored for a resend
     explicit CallerState(bool keepsRunning)
         : keepsRunning_(keepsRunning)
     { }
-    /// @param stop ends what the request now waits for
+    /// @param stop cancels the operation that the request is waiting for
     auto setStop(std::function<void()> stop) -> void { stop_ = std::move(stop); }
     auto clearStop() -> void { stop_ = {}; }
-    /// The caller's connection closed.
+    /// Call when the caller's connection has closed.
     auto onGone() -> void
     {
         gone_ = true;
--- a/router/claims.cpp
+++ b/router/claims.cpp
@@ -1,7 +1,9 @@
-// Why a key in doubt stays closed here: an EndClaim names its claim by key, router and
-// incarnation. If this router took the key anew while an old EndClaim(NotRun) might still be
-// under way, that one would free the new claim while its work runs. Other routers are safe from it
-// by their own names, and a restarted process by its incarnation.
+// A key in doubt stays blocked at this router for the following reason. An
+// EndClaim identifies its claim by key, router and incarnation. If this router
+// acquired the key again while an old EndClaim(NotRun) was still in transit, that
+// message would free the new claim while its work runs. Other routers are not
+// affected, because their names differ, and a restarted process is not affected,
+// because its incarnation differs.
 
 #include "router/claims.h"
 
@@ -26,8 +28,8 @@
     return ClaimRefused { makeError(kind, argument), mayHaveRun };
 }
 
-/// @return true when the message certainly changed nothing and will change nothing
-auto certainlyRefused(const absl::Status &status) -> bool
+/// @return true if the message certainly had no effect and will have none
+auto hadNoEffect(const absl::Status &status) -> bool
 {
     switch (errorKind(status)) {
     case ErrorKind::NotLeader:
@@ -49,25 +51,25 @@
     , callLeader_(std::move(callLeader))
 { }
 
-auto Claims::open(const IdempotencyKey &key) -> absl::Status
+auto Claims::reserveKey(const IdempotencyKey &key) -> absl::Status
 {
     const auto lock = std::scoped_lock { mutex_ };
     if (keys_.count(key) > 0)
         return makeError(ErrorKind::InProgress, "the key is at work at this router");
     if (keys_.size() >= options_.maxKeys)
         return makeError(ErrorKind::Overloaded, "keys at work at this router");
-    keys_.emplace(key, OpenKey {});
+    keys_.emplace(key, HeldKey {});
     return absl::OkStatus();
 }
 
-auto Claims::close(const IdempotencyKey &key, bool inDoubt) -> void
+auto Claims::releaseKey(const IdempotencyKey &key, bool inDoubt) -> void
 {
     const auto lock = std::scoped_lock { mutex_ };
     if (!inDoubt) {
         keys_.erase(key);
         return;
     }
-    keys_[key] = OpenKey { true, clock_.now() + options_.closedFor };
+    keys_[key] = HeldKey { true, clock_.now() + options_.inDoubtPeriod };
 }
 
 auto Claims::tick() -> void
@@ -75,33 +77,35 @@
     const auto lock = std::scoped_lock { mutex_ };
     const auto now = clock_.now();
     std::erase_if(keys_, [now](const auto &entry) {
-        return entry.second.inDoubt && entry.second.closedUntil <= now;
+        return entry.second.inDoubt && entry.second.heldUntil <= now;
     });
 }
 
-auto Claims::openKeys() const -> std::size_t
+auto Claims::heldKeys() const -> std::size_t
 {
     const auto lock = std::scoped_lock { mutex_ };
     return keys_.size();
 }
 
-auto Claims::take(IdempotencyKey key, std::uint64_t bodyHash, Duration runsFor)
+auto Claims::acquire(IdempotencyKey key, std::uint64_t bodyHash, Duration maxRunTime)
         -> asio::awaitable<ClaimResult>
 {
-    if (auto status = open(key); !status.ok()) {
+    if (auto status = reserveKey(key); !status.ok()) {
         const auto busy = errorKind(status) == ErrorKind::InProgress;
         co_return ClaimRefused { std::move(status), busy };
     }
-    // Measured from before the asking: whatever delays the reply counts against the window.
+    // The window starts before the claim is requested, so that any delay of the reply counts
+    // against it.
     const auto asked = clock_.now();
     auto request = proto::ClaimRequest {};
     request.claim.key = key;
     request.claim.bodyHash = bodyHash;
     request.claim.router = options_.self;
     request.claim.incarnation = options_.incarnation;
-    // Longer than this router's own window, past which it does not dispatch: after that time the
-    // claim reads as unknown to a resend, and until then as in progress.
-    const auto wait = options_.window + runsFor;
+    // Longer than this router's own window, after which it does not dispatch. Until this time has
+    // passed, a resend is told that the claim is in progress; after it, that the outcome is
+    // unknown.
+    const auto wait = options_.window + maxRunTime;
     request.waitMs = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     auto payload = proto::Payload { std::move(request) };
     auto initiate = [this, &payload](auto handler) {
@@ -121,9 +125,9 @@
 auto Claims::onVerdict(const IdempotencyKey &key, Instant asked, const Reply &reply) -> ClaimResult
 {
     if (!reply.ok()) {
-        // Nothing was dispatched. But the claim may stand: free it, so that a resend can run.
-        if (certainlyRefused(reply.status())) {
-            close(key, false);
+        // Nothing was dispatched, but the claim may stand. Free it, so that a resend can run.
+        if (hadNoEffect(reply.status())) {
+            releaseKey(key, false);
         } else {
             auto end = state::EndClaim {};
             end.key = key;
@@ -134,7 +138,7 @@
     }
     const auto *verdict = std::get_if<proto::ClaimReply>(&*reply);
     if (verdict == nullptr) {
-        close(key, true);
+        releaseKey(key, true);
         return refusal(ErrorKind::Internal, "unexpected reply to a claim", false);
     }
     if (verdict->verdict == proto::ClaimVerdict::Granted) {
@@ -144,7 +148,7 @@
         end(key, state::ClaimState::NotRun, 0, {}, {});
         return refusal(ErrorKind::DeadlineExceeded, "the claim's window passed", false);
     }
-    close(key, false);
+    releaseKey(key, false);
     switch (verdict->verdict) {
     case proto::ClaimVerdict::Stored:
         if (verdict->contentType == notStoredType)
@@ -188,22 +192,23 @@
     auto onReply = [self = shared_from_this(), end = std::move(end), attempt,
                     inDoubt](const Reply &reply) {
         if (reply.ok()) {
-            self->close(end.key, inDoubt);
+            self->releaseKey(end.key, inDoubt);
             --self->pendingEnds_;
             return;
         }
-        const auto doubt = inDoubt || !certainlyRefused(reply.status());
-        // Conflict: no claim of this router stands, and asking again will not make one.
+        const auto doubt = inDoubt || !hadNoEffect(reply.status());
+        // Conflict means that this router holds no claim on the key; a retry cannot succeed.
         const auto isFinal = errorKind(reply.status()) == ErrorKind::Conflict;
         if (attempt < self->options_.endAttempts && !isFinal) {
             self->sendEnd(end, attempt + 1, doubt);
             return;
         }
-        // The claim stays as taken: after its deadline it reads as unknown and is never run again.
+        // The claim remains in place. After its deadline its outcome is reported as unknown, and
+        // the request is never run again.
         LogEvent(LogLevel::Warning, "claim_end_lost")
                 .with("state", static_cast<int>(end.state))
                 .with(reply.status());
-        self->close(end.key, doubt);
+        self->releaseKey(end.key, doubt);
         --self->pendingEnds_;
     };
     callLeader_(std::move(message), options_.timeout, std::move(onReply));
--- a/router/coldwait.cpp
+++ b/router/coldwait.cpp
@@ -1,4 +1,5 @@
-// Both times are clamped into the wait first, so that skewed clocks cannot make a part negative.
+// Both times are first clamped to the waiting period, so that clock skew cannot
+// make a part negative.
 
 #include "router/coldwait.h"
 
--- a/router/coldwait.h
+++ b/router/coldwait.h
@@ -1,9 +1,11 @@
-// Where the wait of a cold start went, told from the order that loaded its replica.
+// Splits the waiting time of a cold start into parts, using the times of the order
+// that loaded the replica.
 //
 //   auto parts = splitColdWait({ waited, arrivedAt, orderedAt, readyAt });
 //
-// Guarantees: pure; the parts are never negative and add up to the wait. The order's times
-// are the leader's: a clock that is off moves time from one part to another, no more.
+// Guarantees: a pure function. The parts are never negative and add up to the
+// waiting time. The order's times come from the leader's clock; an offset between
+// the clocks moves time from one part to another and has no other effect.
 
 #ifndef FIGRACK_ROUTER_COLDWAIT_H
 #define FIGRACK_ROUTER_COLDWAIT_H
@@ -15,15 +17,16 @@
 
 struct ColdWait
 {
-    state::Millis waited = 0;    ///< Arrival till dispatch, ms.
-    state::Millis arrivedAt = 0; ///< Wall time here.
-    state::Millis orderedAt = 0; ///< Wall time of the leader; 0 when unknown.
-    state::Millis readyAt = 0;   ///< Wall time of the leader.
+    state::Millis waited = 0;    ///< From arrival to dispatch, ms.
+    state::Millis arrivedAt = 0; ///< This router's wall time, ms.
+    state::Millis orderedAt = 0; ///< Leader's wall time, ms; 0 if unknown.
+    state::Millis readyAt = 0;   ///< Leader's wall time, ms.
 };
 
-/// @param wait of a request that found no replica ready
-/// @return decision: till the order; load: till the replica was ready, the store's queue
-///     included; queue: the rest. All of it is queue when the order is not known.
+/// @param wait the times of a request that found no ready replica
+/// @return decision: the time until the load was ordered; load: from then until the replica was
+///     ready, including the queue of the model store; queue: the rest. If the order is unknown,
+///     all of the time is counted as queue.
 auto splitColdWait(const ColdWait &wait) -> report::ColdParts;
 
 } // namespace figrack::router
--- a/router/controllink.cpp
+++ b/router/controllink.cpp
@@ -1,6 +1,7 @@
-// All state but the lease holder lives on one strand; a tick every 20 ms does whatever is due:
-// subscribe, join, renew, report. Which feed a batch came from is known by the epoch of its
-// subscription, so that a late batch of a source given up is dropped.
+// All state except the lease holder is accessed only on one strand. A tick every
+// 20 ms performs the actions that are due: subscribe, join, renew, report. Each
+// subscription has an epoch that identifies the source of a batch, so that late
+// batches from an abandoned source are dropped.
 
 #include "router/controllink.h"
 
@@ -27,8 +28,8 @@
 constexpr auto joinTimeout = std::chrono::seconds { 3 };
 constexpr auto noPeer = SIZE_MAX;
 
-/// @param status a NotLeader error; the channel puts the leader's name at the argument's end
-/// @return the leader, or an empty name
+/// @param status a NotLeader error; the channel appends the leader's name to the argument
+/// @return the leader, or an empty name if none is given
 auto leaderNamedBy(const absl::Status &status) -> NodeId
 {
     constexpr auto key = std::string_view { "leader=" };
@@ -62,7 +63,7 @@
     auto isCurrent() const -> bool;
     auto callLeader(proto::Payload payload, Duration timeout, ReplyHandler done) -> void;
     auto pushAll(const proto::Payload &payload) -> void;
-    auto wantDemandNow() -> void;
+    auto requestDemandReport() -> void;
     auto setLeaving() -> void { leaving_ = true; }
 
 private:
@@ -84,15 +85,15 @@
             -> void;
     auto tick() -> void;
     auto scheduleTick() -> void;
-    auto keepFeed() -> void;
+    auto maintainFeed() -> void;
     auto subscribe(std::size_t index) -> void;
-    auto firstOpen(std::size_t except) const -> std::size_t;
+    auto firstConnected(std::size_t except) const -> std::size_t;
     auto onBatch(std::uint64_t epoch, const proto::FeedBatch &batch) -> void;
-    auto keepJoined() -> void;
-    auto keepLease() -> void;
+    auto maintainMembership() -> void;
+    auto maintainLease() -> void;
     auto renew() -> void;
     auto onRenewed(const coord::RenewReply &reply) -> void;
-    auto keepDemand() -> void;
+    auto maintainDemandReports() -> void;
     auto reportDemand() -> void;
     auto tryLeader(const LeaderCallPointer &call) -> void;
     auto leaderIndex() const -> std::size_t;
@@ -108,17 +109,17 @@
     asio::io_context &context_;
     asio::strand<asio::io_context::executor_type> strand_;
     BootTimer timer_;
-    std::vector<Peer> peers_; ///< Fixed after the constructor's start(); clients are thread-safe.
+    std::vector<Peer> peers_; ///< Does not change after start(); the clients are thread-safe.
 
-    mutable std::mutex holderMutex_; ///< Lock order: a leaf; nothing is called under it.
+    mutable std::mutex holderMutex_; ///< Lock order: a leaf; no other lock is taken under it.
     coord::ViewHolder holder_;
 
-    // On the strand.
+    // Accessed only on the strand.
     std::size_t source_ = noPeer;
     std::uint64_t epoch_ = 0;
     Instant feedProgress_ {};
     bool behind_ = false;
-    bool feeding_ = false; ///< The subscription under way has been answered.
+    bool subscribed_ = false; ///< The current subscription has been answered.
     Instant preferNearestAt_ {};
     NodeId leader_;
     std::size_t nextGuess_ = 0;
@@ -130,7 +131,7 @@
     bool demandWasEmpty_ = true;
     std::uint64_t demandSequence_ = 0;
 
-    std::atomic<bool> demandWanted_ = false;
+    std::atomic<bool> demandRequested_ = false;
     std::atomic<bool> stopped_ = false;
     std::atomic<bool> leaving_ = false;
 };
@@ -175,9 +176,9 @@
                                   proto::Envelope envelope) -> void
 {
     if (const auto *batch = std::get_if<proto::FeedBatch>(&envelope.payload)) {
-        // Before the reply to the subscription, a push belongs to an older one and would leave a
-        // gap.
-        if (index == source_ && feeding_)
+        // A batch pushed before the reply to the subscription belongs to an older subscription;
+        // applying it would leave a gap.
+        if (index == source_ && subscribed_)
             onBatch(epoch_, *batch);
     } else if (const auto *digest = std::get_if<proto::LoadDigest>(&envelope.payload)) {
         hooks_.onLoad(*digest);
@@ -200,16 +201,16 @@
 
 auto ControlLink::Impl::tick() -> void
 {
-    keepFeed();
-    keepJoined();
-    keepLease();
-    keepDemand();
+    maintainFeed();
+    maintainMembership();
+    maintainLease();
+    maintainDemandReports();
     scheduleTick();
 }
 
 // --- the feed ---
 
-auto ControlLink::Impl::firstOpen(std::size_t except) const -> std::size_t
+auto ControlLink::Impl::firstConnected(std::size_t except) const -> std::size_t
 {
     for (auto i = std::size_t { 0 }; i < peers_.size(); ++i) {
         if (i != except && peers_[i].client->isOpen())
@@ -218,14 +219,14 @@
     return noPeer;
 }
 
-auto ControlLink::Impl::keepFeed() -> void
+auto ControlLink::Impl::maintainFeed() -> void
 {
     const auto now = clock_.now();
     const auto lost = source_ == noPeer || !peers_[source_].client->isOpen();
     const auto stuck = behind_ && now - feedProgress_ > options_.feedTimeout;
     if (lost || stuck) {
-        const auto next = firstOpen(source_);
-        // A source that is stuck is kept when there is no other.
+        const auto next = firstConnected(source_);
+        // A source without progress is kept if no other is connected.
         if (next != noPeer)
             subscribe(next);
         else if (lost)
@@ -243,7 +244,7 @@
     const auto now = clock_.now();
     feedProgress_ = now;
     behind_ = true;
-    feeding_ = false;
+    subscribed_ = false;
     preferNearestAt_ = now + options_.preferNearestEvery;
     LogEvent(LogLevel::Info, "feed_source")
             .with("control", peers_[index].name)
@@ -262,8 +263,8 @@
                             = reply.ok() ? std::get_if<proto::FeedBatch>(&*reply) : nullptr;
                     if (epoch != self->epoch_)
                         return;
-                    self->feeding_ = batch != nullptr;
-                    if (self->feeding_)
+                    self->subscribed_ = batch != nullptr;
+                    if (self->subscribed_)
                         self->onBatch(epoch, *batch);
                     else
                         self->source_ = noPeer;
@@ -286,7 +287,8 @@
     }
     behind_ = false;
     feedProgress_ = clock_.now();
-    // The leader accepts a change as soon as every router has said that it is in force there.
+    // Renews at once, because the leader accepts a change as soon as every router has reported
+    // that the change is in force there.
     if (view_.revision() != before && caughtUp())
         renew();
     if (view_.appliedIndex() != indexBefore)
@@ -295,10 +297,11 @@
 
 // --- membership and the lease ---
 
-auto ControlLink::Impl::keepJoined() -> void
+auto ControlLink::Impl::maintainMembership() -> void
 {
     const auto &self = options_.registration;
-    // Removed by the controls after a long silence: this life takes part again by a new join.
+    // The controls remove a router that was silent for a long time. It joins again with the same
+    // incarnation.
     if (joined_ && caughtUp() && !view_.isRegistered(self.incarnation)) {
         LogEvent(LogLevel::Warning, "router_was_removed").with("router", self.node);
         joined_ = false;
@@ -325,7 +328,7 @@
                });
 }
 
-auto ControlLink::Impl::keepLease() -> void
+auto ControlLink::Impl::maintainLease() -> void
 {
     if (caughtUp() && clock_.now() >= renewAt_)
         renew();
@@ -377,18 +380,18 @@
 
 // --- demand ---
 
-auto ControlLink::Impl::wantDemandNow() -> void
+auto ControlLink::Impl::requestDemandReport() -> void
 {
-    if (demandWanted_.exchange(true))
+    if (demandRequested_.exchange(true))
         return;
-    asio::post(strand_, [self = shared_from_this()] { self->keepDemand(); });
+    asio::post(strand_, [self = shared_from_this()] { self->maintainDemandReports(); });
 }
 
-auto ControlLink::Impl::keepDemand() -> void
+auto ControlLink::Impl::maintainDemandReports() -> void
 {
     const auto now = clock_.now();
     const auto every = demandWasEmpty_ ? options_.demandIdleEvery : options_.demandEvery;
-    if (!demandWanted_ && now < demandAt_ + every)
+    if (!demandRequested_ && now < demandAt_ + every)
         return;
     reportDemand();
 }
@@ -398,7 +401,7 @@
     const auto leader = leaderIndex();
     if (leader == noPeer || !joined_)
         return;
-    demandWanted_ = false;
+    demandRequested_ = false;
     demandAt_ = clock_.now();
     auto report = proto::DemandReport {};
     report.router = options_.registration.node;
@@ -419,8 +422,8 @@
         return;
     leader_ = leader;
     LogEvent(LogLevel::Info, "leader_known").with("leader", leader);
-    // A new leader knows no demand yet.
-    demandWanted_ = true;
+    // A new leader has no demand data yet.
+    demandRequested_ = true;
 }
 
 auto ControlLink::Impl::leaderIndex() const -> std::size_t
@@ -528,9 +531,9 @@
     impl_->pushAll(payload);
 }
 
-auto ControlLink::wantDemandNow() -> void
+auto ControlLink::requestDemandReport() -> void
 {
-    impl_->wantDemandNow();
+    impl_->requestDemandReport();
 }
 
 auto ControlLink::setLeaving() -> void
--- a/router/controllink.h
+++ b/router/controllink.h
@@ -1,20 +1,21 @@
-// This router's connections to the control processes.
+// Manages this router's connections to the control processes.
 //
 //   auto link = ControlLink { context, options, clock, view, hooks };
 //   link.start();
 //   link.callLeader(ClaimRequest { ... }, timeout, [](auto reply) { ... });
 //   if (link.isCurrent()) ...
 //
-// One connection to each control. One of them, the first of the list that is
-// alive, feeds the tables; all of them renew the lease by which this router
-// knows that its configuration is current; the leader gets the join, demand,
-// claims and drain notices.
+// The link keeps one connection to each control. One of them, normally the first
+// connected one of the list, sends the feed of table changes. All of them renew
+// the lease that tells this router that its configuration is current. The leader
+// receives the join, the demand reports, the claims and the drain notices.
 //
-// Guarantees: batches are applied in the order sent by one source at a time; no
-// renewal is asked for before the tables have caught up with the join;
-// callLeader() ends each call exactly once, sends again only what a control
-// refused as NotLeader, and answers NotLeader itself only when nothing was
-// sent that could have been taken up. Thread-safe.
+// Guarantees: feed batches are applied in the order in which one source sent
+// them, from one source at a time. No lease renewal is requested before the
+// tables have caught up with the join. callLeader() completes each call exactly
+// once, resends only what a control refused as NotLeader, and itself answers
+// NotLeader only if nothing was sent that a control could have accepted.
+// Thread-safe.
 
 #ifndef FIGRACK_ROUTER_CONTROLLINK_H
 #define FIGRACK_ROUTER_CONTROLLINK_H
@@ -39,14 +40,17 @@
 
 struct ControlLinkOptions
 {
-    state::RegisterRouter registration; ///< Name, incarnation, domain and caller address.
+    state::RegisterRouter registration; ///< This router's name, incarnation, domain and
+                                        ///< the address that callers connect to.
     std::vector<NamedAddress> controls; ///< Nearest first.
     proto::ChannelOptions channel;
     coord::ViewLeaseOptions viewLease;
     Duration demandEvery = std::chrono::milliseconds { 100 };
     Duration demandIdleEvery = std::chrono::seconds { 1 };
-    Duration feedTimeout = std::chrono::seconds { 2 };         ///< Without progress while behind.
-    Duration preferNearestEvery = std::chrono::seconds { 30 }; ///< Back to the first of the list.
+    Duration feedTimeout = std::chrono::seconds { 2 }; ///< Without progress while behind; then
+                                                       ///< another source is tried.
+    Duration preferNearestEvery = std::chrono::seconds { 30 }; ///< How often to try to return to
+                                                               ///< the first control of the list.
 };
 
 /// Called on the link's strand.
@@ -55,7 +59,7 @@
     std::function<void()> onViewChanged;
     std::function<void(const proto::LoadDigest &)> onLoad;
     std::function<std::vector<proto::DemandRow>()> takeDemand;
-    std::function<std::string(Duration)> encodeReport; ///< Of the window given.
+    std::function<std::string(Duration)> encodeReport; ///< Encodes the report of the given window.
 };
 
 class ControlLink
@@ -71,13 +75,14 @@
 
     /// @return true while the configuration applied here is known to be current
     auto isCurrent() const -> bool;
-    /// Sends to the leader, whoever leads; looks for it till the timeout.
+    /// Sends a message to the current leader, searching for the leader until the timeout.
     auto callLeader(proto::Payload payload, Duration timeout, ReplyHandler done) -> void;
-    /// Sends to every control that is connected.
+    /// Sends a message to every connected control, without waiting for replies.
     auto pushAll(const proto::Payload &payload) -> void;
-    /// A model without a ready replica is wanted: reports demand now, once for many calls.
-    auto wantDemandNow() -> void;
-    /// This router leaves: it joins no more.
+    /// Reports demand without waiting for the next interval. Call when a request arrives for a
+    /// model without a ready replica. Calls made before the report is sent share one report.
+    auto requestDemandReport() -> void;
+    /// Marks this router as leaving: it no longer joins.
     auto setLeaving() -> void;
 
 private:
--- a/router/dispatch.cpp
+++ b/router/dispatch.cpp
@@ -1,6 +1,8 @@
-// One Run object a request holds what its rounds share: what the caller has been given, whether
-// anything may have run, the ticket. A round returns what it knows, and decide() alone turns that
-// into another round or the end, so that the table in the header stands in one place.
+// Each request has one Run object, which holds the state shared by its rounds:
+// what the caller has received, whether anything may have run, and the ticket. A
+// round returns what it knows about its end. Run::run() and nextRound() alone
+// turn that into another round or the end of the request, so that the table in
+// the header is implemented in one place.
 
 #include "router/dispatch.h"
 
@@ -29,11 +31,11 @@
 
 namespace asio = boost::asio;
 
-/// What one round knows of its end.
+/// How one round ended, as far as the round can know.
 enum class RoundEnd : std::uint8_t {
-    Answered,   ///< The whole answer is with the caller, or in the outcome.
-    NotRun,     ///< Certainly nothing ran.
-    MayHaveRun, ///< It broke off.
+    Answered,   ///< The caller has received the complete answer, or the outcome holds it.
+    NotRun,     ///< It is certain that nothing ran.
+    MayHaveRun, ///< The round failed after part of the request may have been sent.
     CallerGone,
     Final, ///< The outcome is set and no other round may follow.
 };
@@ -42,7 +44,8 @@
 {
     RoundEnd end = RoundEnd::MayHaveRun;
     absl::Status status;
-    policy::DispatchResult result = policy::DispatchResult::Failed; ///< For the replica chooser.
+    policy::DispatchResult result
+            = policy::DispatchResult::Failed; ///< Passed to the replica chooser.
 };
 
 auto millisOf(Duration duration) -> Millis
@@ -55,15 +58,16 @@
     return std::chrono::milliseconds { value };
 }
 
-/// For the end of a body whose [DONE] has come.
-constexpr auto endOfBodyWait = std::chrono::milliseconds { 200 };
+/// How long to wait for the end of a body after its [DONE] has arrived.
+constexpr auto endOfBodyTimeout = std::chrono::milliseconds { 200 };
 
-/// The endpoint's own word that it did not take the request.
-auto saysNotRun(const Target &target, std::uint32_t status, const http::Headers &headers) -> bool
+/// @return true if the endpoint's answer states that it did not run the request
+auto reportsNotRun(const Target &target, std::uint32_t status, const http::Headers &headers) -> bool
 {
     if (http::findHeader(headers, "X-Figrack-Ran") == "not_run")
         return true;
-    // An engine answers these before it runs anything; a plain service's 503 may mean anything.
+    // An engine sends these statuses only before it runs anything. A plain service's 503 gives no
+    // such assurance.
     constexpr auto notFound = 404U;
     constexpr auto tooMany = 429U;
     constexpr auto unavailable = 503U;
@@ -108,18 +112,18 @@
     auto round(Granted granted) -> asio::awaitable<Round>;
     auto buildRequest(const Granted &granted) const -> http::ClientRequest;
     auto onHead(http::ClientStream &stream) -> asio::awaitable<Round>;
-    auto readWhole(http::ClientStream &stream) -> asio::awaitable<Round>;
-    auto passStream(http::ClientStream &stream) -> asio::awaitable<Round>;
-    auto passEvents(std::vector<endpoint::SseEvent> events)
+    auto readBody(http::ClientStream &stream) -> asio::awaitable<Round>;
+    auto forwardStream(http::ClientStream &stream) -> asio::awaitable<Round>;
+    auto forwardEvents(std::vector<endpoint::SseEvent> events)
             -> asio::awaitable<std::optional<Round>>;
-    auto give(std::string bytes) -> asio::awaitable<bool>;
+    auto writeToCaller(std::string bytes) -> asio::awaitable<bool>;
     auto nextRound(const Round &round) -> std::optional<Millis>;
     auto backOff(Millis wait) -> asio::awaitable<void>;
-    auto waitLeft() const -> Millis;
+    auto remainingWait() const -> Millis;
     auto refused(const Refused &refusal) -> void;
     auto giveUp(const Round &round) -> asio::awaitable<void>;
-    auto noteFirstByte() -> void;
-    auto keep(const std::string &bytes) -> void;
+    auto recordFirstByte() -> void;
+    auto recordForResend(const std::string &bytes) -> void;
     auto sinceArrival() const -> Millis;
     auto untilFinish() const -> Duration;
     auto headTimeout() const -> Duration;
@@ -132,7 +136,7 @@
     Millis arrivedWall_;
     Ticket ticket_ = 0;
     std::uint32_t attempts_ = 0; ///< Rounds in which the endpoint was reached.
-    std::uint64_t tokensGiven_ = 0;
+    std::uint64_t tokensSent_ = 0;
     bool anyMayHaveRun_ = false;
     Outcome outcome_;
 };
@@ -142,9 +146,9 @@
     return millisOf(owner_.clock_.now() - arrived_);
 }
 
-/// How long this request may still wait for a replica. A stream under way has met its start; it
-/// may wait for a new replica as long as a new request.
-auto Dispatcher::Run::waitLeft() const -> Millis
+/// Returns how long this request may still wait for a replica. A stream that has started has met
+/// its start target, so it may wait for a new replica as long as a new request may.
+auto Dispatcher::Run::remainingWait() const -> Millis
 {
     const auto left = outcome_.headSent ? work_.startTarget : work_.startTarget - sinceArrival();
     return std::max<Millis>(left, 0);
@@ -156,7 +160,8 @@
     return std::max<Duration>(left, std::chrono::milliseconds { 1 });
 }
 
-/// A stream that is resumed may have passed its finish target; it gets a start's time again.
+/// Returns how long to wait for the response head. A resumed stream may already be past its finish
+/// target, so it is allowed at least its start target again.
 auto Dispatcher::Run::headTimeout() const -> Duration
 {
     return outcome_.headSent ? std::max(untilFinish(), millis(work_.startTarget)) : untilFinish();
@@ -169,7 +174,8 @@
     auto initiate = [&start](auto handler) {
         const auto executor = asio::get_associated_executor(handler);
         auto shared = std::make_shared<decltype(handler)>(std::move(handler));
-        // Posted even when granted at once: the ticket is stored before the coroutine goes on.
+        // Posted even if the request is granted immediately, so that the ticket is stored before
+        // the coroutine continues.
         start([shared, executor](Placement placement) {
             asio::post(executor, [shared, placement = std::move(placement)]() mutable {
                 (*shared)(std::move(placement));
@@ -184,8 +190,8 @@
 
 auto Dispatcher::Run::firstPlacement() -> asio::awaitable<Placement>
 {
-    auto waiting = Waiting { work_.target, work_.classId,     work_.caller,
-                             work_.prefix, work_.startTarget, work_.finishTarget };
+    auto waiting = SchedulingRequest { work_.target, work_.classId,     work_.caller,
+                                       work_.prefix, work_.startTarget, work_.finishTarget };
     co_return co_await awaitPlacement([this, &waiting](Scheduler::Done done) {
         ticket_ = owner_.scheduler_.submit(waiting, std::move(done));
     });
@@ -193,7 +199,7 @@
 
 auto Dispatcher::Run::nextPlacement(policy::DispatchResult result) -> asio::awaitable<Placement>
 {
-    const auto left = waitLeft();
+    const auto left = remainingWait();
     co_return co_await awaitPlacement([this, left, result](Scheduler::Done done) {
         owner_.scheduler_.requeue(ticket_, result, left, std::move(done));
     });
@@ -208,7 +214,8 @@
         if (const auto *refusal = std::get_if<Refused>(&placement)) {
             refused(*refusal);
             if (outcome_.headSent) {
-                // Named: g++ 12 destroys an aggregate made inside a co_await expression twice.
+                // A named variable, because g++ 12 destroys an aggregate that is created inside a
+                // co_await expression twice.
                 const auto last = Round { RoundEnd::MayHaveRun, outcome_.status };
                 co_await giveUp(last);
             }
@@ -224,8 +231,9 @@
         }
         isFirst = false;
         const auto round = co_await this->round(granted);
-        // A connection that was never made is no attempt: it is bounded by the time to wait and the
-        // budget. Else a replica that died would use up the attempts before the tables know of it.
+        // A connection that could not be made does not count as an attempt; the waiting time and
+        // the retry budget bound such rounds. Otherwise a failed replica could use up all attempts
+        // before the tables show that it failed.
         if (round.end != RoundEnd::NotRun || round.result == policy::DispatchResult::Refused)
             ++attempts_;
         if (round.end == RoundEnd::MayHaveRun || round.end == RoundEnd::CallerGone)
@@ -245,7 +253,7 @@
                 .with("endpoint", granted.replica.id)
                 .with("attempt", std::uint64_t { attempts_ })
                 .with("ran", ranName(round.end == RoundEnd::NotRun ? Ran::NotRun : Ran::Unknown))
-                .with("given", tokensGiven_)
+                .with("given", tokensSent_)
                 .with(round.status);
         const auto delay = nextRound(round);
         if (!delay) {
@@ -260,7 +268,7 @@
     co_return std::move(outcome_);
 }
 
-/// @return how long to wait before another round; nullopt: give the final answer now
+/// @return how long to wait before another round, in ms; nullopt if the request ends now
 auto Dispatcher::Run::nextRound(const Round &round) -> std::optional<Millis>
 {
     if (caller_.mustStop() || (work_.mayStart && !work_.mayStart()))
@@ -270,9 +278,9 @@
     auto attempt = policy::FailedAttempt {};
     attempt.attempts = attempts_;
     attempt.repeatable = work_.repeatable;
-    // What a stream has given cannot be taken back, even if this round ran nothing.
+    // Data already sent on a stream cannot be withdrawn, even if this round ran nothing.
     attempt.mayHaveRun = round.end != RoundEnd::NotRun || outcome_.headSent;
-    attempt.lastStart = nowMs + waitLeft();
+    attempt.lastStart = nowMs + remainingWait();
     return owner_.budget_.next(attempt, nowMs);
 }
 
@@ -327,10 +335,10 @@
         request.headers.push_back({ "Idempotency-Key", work_.key.value() });
     if (!work_.target.isService())
         request.headers.push_back({ "X-Figrack-Priority", std::to_string(work_.startTarget) });
-    if (tokensGiven_ > 0)
-        request.headers.push_back({ "X-Figrack-Resume-From", std::to_string(tokensGiven_) });
+    if (tokensSent_ > 0)
+        request.headers.push_back({ "X-Figrack-Resume-From", std::to_string(tokensSent_) });
     request.body = std::string { work_.body };
-    // A kept connection that turns out closed leaves in doubt whether the request ran.
+    // If a reused connection turns out to be closed, it is unknown whether the request ran.
     request.freshConnection = !work_.repeatable;
     request.mayStart = [this, id = granted.replica.id] {
         return owner_.view_.isUsable(id) && (!work_.mayStart || work_.mayStart());
@@ -346,7 +354,7 @@
     auto result = co_await owner_.open_(std::move(request), headTimeout());
     if (auto *error = std::get_if<http::ClientError>(&result)) {
         if (error->sent == http::Sent::Nothing) {
-            // Held back by mayStart, which is no fault of the endpoint's.
+            // mayStart prevented the dispatch, so the endpoint is not at fault.
             const auto heldBack = errorKind(error->status) == ErrorKind::Cancelled;
             co_return Round { RoundEnd::NotRun, std::move(error->status),
                               heldBack ? policy::DispatchResult::Cancelled
@@ -373,7 +381,7 @@
 {
     constexpr auto firstServerError = 500U;
     const auto status = stream.status();
-    if (saysNotRun(work_.target, status, stream.headers()))
+    if (reportsNotRun(work_.target, status, stream.headers()))
         co_return Round { RoundEnd::NotRun,
                           makeError(ErrorKind::EndpointFailed,
                                     fmt::format("endpoint refused: status={}", status)),
@@ -384,26 +392,26 @@
     const auto type = http::findHeader(stream.headers(), "Content-Type");
     outcome_.httpStatus = status;
     outcome_.contentType = std::string { type };
-    noteFirstByte();
+    recordFirstByte();
     constexpr auto ok = 200U;
     if (work_.stream && status == ok && type.substr(0, 17) == "text/event-stream")
-        co_return co_await passStream(stream);
+        co_return co_await forwardStream(stream);
     if (outcome_.headSent) {
         co_return Round { RoundEnd::MayHaveRun,
                           makeError(ErrorKind::EndpointFailed,
                                     fmt::format("resume refused: status={}", status)) };
     }
-    co_return co_await readWhole(stream);
+    co_return co_await readBody(stream);
 }
 
-auto Dispatcher::Run::noteFirstByte() -> void
+auto Dispatcher::Run::recordFirstByte() -> void
 {
     owner_.scheduler_.onFirstToken(ticket_);
     if (outcome_.firstByteAfter == 0)
         outcome_.firstByteAfter = std::max<Millis>(sinceArrival(), 1);
 }
 
-auto Dispatcher::Run::readWhole(http::ClientStream &stream) -> asio::awaitable<Round>
+auto Dispatcher::Run::readBody(http::ClientStream &stream) -> asio::awaitable<Round>
 {
     auto body = std::string {};
     while (true) {
@@ -419,22 +427,22 @@
         }
     }
     outcome_.answer = std::move(body);
-    outcome_.answerIsWhole = true;
-    outcome_.whole = true;
+    outcome_.answerIsComplete = true;
+    outcome_.isComplete = true;
     outcome_.end = report::RequestEnd::Answered;
     outcome_.status = absl::OkStatus();
     anyMayHaveRun_ = true;
     co_return Round { RoundEnd::Answered, absl::OkStatus() };
 }
 
-auto Dispatcher::Run::passStream(http::ClientStream &stream) -> asio::awaitable<Round>
+auto Dispatcher::Run::forwardStream(http::ClientStream &stream) -> asio::awaitable<Round>
 {
     if (!outcome_.headSent) {
         auto headers = http::Headers { { "Content-Type", outcome_.contentType },
                                        { "Cache-Control", "no-cache" },
                                        { "X-Request-Id", work_.id.value() } };
         outcome_.headSent = true;
-        outcome_.answerIsWhole = true;
+        outcome_.answerIsComplete = true;
         const auto started = co_await responder_.startStream(200, std::move(headers));
         if (!started.ok() && !caller_.isGone())
             caller_.onGone();
@@ -453,17 +461,17 @@
         auto events = splitter.feed(*chunk);
         if (!events.ok())
             co_return Round { RoundEnd::MayHaveRun, events.status() };
-        auto end = co_await passEvents(std::move(*events));
+        auto end = co_await forwardEvents(std::move(*events));
         if (!end)
             continue;
-        // Reading to the true end lets the connection be kept.
+        // Reading to the end of the body allows the connection to be reused.
         if (end->end == RoundEnd::Answered)
-            (void)co_await stream.read(endOfBodyWait);
+            (void)co_await stream.read(endOfBodyTimeout);
         co_return std::move(*end);
     }
 }
 
-auto Dispatcher::Run::passEvents(std::vector<endpoint::SseEvent> events)
+auto Dispatcher::Run::forwardEvents(std::vector<endpoint::SseEvent> events)
         -> asio::awaitable<std::optional<Round>>
 {
     auto bytes = std::string {};
@@ -480,14 +488,14 @@
             break;
         }
         if (event.hasData)
-            ++tokensGiven_;
+            ++tokensSent_;
     }
-    keep(bytes);
-    const auto given = co_await give(std::move(bytes));
+    recordForResend(bytes);
+    const auto given = co_await writeToCaller(std::move(bytes));
     if (!given)
         co_return Round { RoundEnd::CallerGone, absl::OkStatus() };
     if (end && end->end == RoundEnd::Answered) {
-        outcome_.whole = true;
+        outcome_.isComplete = true;
         outcome_.end = report::RequestEnd::Answered;
         outcome_.status = absl::OkStatus();
         anyMayHaveRun_ = true;
@@ -497,8 +505,9 @@
     co_return end;
 }
 
-/// @return false when the caller is gone and the work should stop
-auto Dispatcher::Run::give(std::string bytes) -> asio::awaitable<bool>
+/// Sends bytes of a stream to the caller, unless it has disconnected.
+/// @return false if the caller has disconnected and the work should stop
+auto Dispatcher::Run::writeToCaller(std::string bytes) -> asio::awaitable<bool>
 {
     if (!bytes.empty() && !caller_.isGone()) {
         const auto written = co_await responder_.write(std::move(bytes));
@@ -508,15 +517,15 @@
     co_return !caller_.mustStop();
 }
 
-/// Keeps what a resend would be given: only of requests with a key, and bounded.
-auto Dispatcher::Run::keep(const std::string &bytes) -> void
+/// Records the answer for a resend. Only for requests with a key, and limited in size.
+auto Dispatcher::Run::recordForResend(const std::string &bytes) -> void
 {
-    if (work_.key.empty() || !outcome_.answerIsWhole)
+    if (work_.key.empty() || !outcome_.answerIsComplete)
         return;
     outcome_.answer += bytes;
     if (outcome_.answer.size() > state::maxStoredAnswerBytes) {
         outcome_.answer.clear();
-        outcome_.answerIsWhole = false;
+        outcome_.answerIsComplete = false;
     }
 }
 
--- a/router/dispatch.h
+++ b/router/dispatch.h
@@ -1,21 +1,24 @@
-// Carries one request to endpoints until it is answered, refused or given up.
+// Dispatches one request to endpoints until it is answered, refused or has failed.
 //
 //   auto dispatcher = Dispatcher { options, clock, scheduler, budget, view, open };
 //   auto outcome = co_await dispatcher.run(work, caller, responder);
 //
-// Each round waits for a replica, opens the request there and passes the
-// answer on. What may follow a failed round:
+// Each round waits for a replica, sends the request to it and forwards the
+// answer to the caller. What follows a failed round depends on how it failed:
 //
-//   no byte of the request left, or the endpoint said that it did not run it   another round
-//   it may have run, nothing was given to the caller, it may be repeated       another round
-//   part of a stream was given, it may be repeated                             resumed elsewhere
-//   anything else                                                              given up
+//   no byte of the request was sent, or the endpoint
+//   reported that it did not run the request              another round
+//   the request may have run, the caller has received
+//   nothing, and the request is repeatable                another round
+//   the caller has received part of a stream, and the
+//   request is repeatable                                 resumed on another replica
+//   anything else                                         the request fails
 //
-// Guarantees: rounds are bounded by the shared retry budget; a
-// request waits for a replica no longer than its start target and for a first
-// byte no longer than its finish target; outcome.ran is NotRun only when every
-// round certainly ran nothing; only whole events reach the caller, none twice;
-// [DONE] is passed on only when it came from an endpoint.
+// Guarantees: the shared retry budget bounds the number of rounds. A request
+// waits for a replica no longer than its start target and for a first byte no
+// longer than its finish target. outcome.ran is NotRun only if it is certain that
+// no round ran anything. The caller receives only complete events and receives
+// none twice. [DONE] is forwarded only if it came from an endpoint.
 
 #ifndef FIGRACK_ROUTER_DISPATCH_H
 #define FIGRACK_ROUTER_DISPATCH_H
@@ -38,7 +41,7 @@
 namespace figrack::router {
 
 using OpenResult = http::ClientResult<std::unique_ptr<http::ClientStream>>;
-/// http::Client::open(), or a test's stand-in.
+/// http::Client::open(), or a fake in tests.
 using OpenStream = std::function<boost::asio::awaitable<OpenResult>(http::ClientRequest, Duration)>;
 
 struct DispatchOptions
@@ -53,12 +56,14 @@
     Dispatcher(DispatchOptions options, const Clock &clock, Scheduler &scheduler,
                RetryBudget &budget, const View &view, OpenStream open);
     ~Dispatcher();
-    /// @param work the request; outlives the call
-    /// @param caller told by the server when the caller goes
-    /// @param responder used only to stream; refusals and whole answers are the caller's to send
+    /// @param work the request; must outlive the call
+    /// @param caller notified by the server when the caller disconnects
+    /// @param responder used only for streams; the calling code sends refusals and complete,
+    /// non-streamed answers itself
+    /// @return how the request ended
     auto run(const Work &work, CallerState &caller, http::Responder &responder)
             -> boost::asio::awaitable<Outcome>;
-    /// @return dispatches after the first of their request, since the start
+    /// @return the number of retries granted since the process started, over all requests
     auto retries() const -> std::uint64_t { return budget_.granted(); }
 
 private:
--- a/router/drain.cpp
+++ b/router/drain.cpp
@@ -1,5 +1,5 @@
-// The states and the only ways between them are a Boost.MSM table; times are kept beside it, so
-// that the machine itself knows no clock.
+// The states and the only allowed transitions are defined by a Boost.MSM table.
+// Times are kept outside the state machine, which does not use a clock.
 
 #include "router/drain.h"
 
@@ -46,7 +46,8 @@
                   Row<Refusing, Idle, Stopped, none, none>>
     { };
 
-    /// An event that a state has no row for changes nothing: no step is skipped or undone.
+    /// Ignores an event that has no row for the current state, so that no step is skipped or
+    /// undone.
     template<typename Fsm, typename Event>
     auto no_transition(const Event &, Fsm &, int) -> void
     { }
@@ -95,7 +96,8 @@
     const auto lock = std::scoped_lock { mutex_ };
     if (machine_->phase() != DrainPhase::Serving)
         return false;
-    refuseAt_ = clock_.now() + options_.noticeLimit + options_.spread + options_.addressLifetime;
+    refuseAt_ = clock_.now() + options_.noticeTimeout + options_.propagationTime
+            + options_.addressLifetime;
     machine_->handle(StopAsked {});
     return true;
 }
@@ -106,7 +108,7 @@
     if (confirmed_ || machine_->phase() != DrainPhase::Leaving)
         return;
     confirmed_ = true;
-    refuseAt_ = clock_.now() + options_.spread + options_.addressLifetime;
+    refuseAt_ = clock_.now() + options_.propagationTime + options_.addressLifetime;
 }
 
 auto Drain::tick(std::size_t inProgress) -> DrainPhase
--- a/router/drain.h
+++ b/router/drain.h
@@ -1,14 +1,16 @@
-// A router's planned stop, step by step.
+// State machine for a router's planned stop.
 //
 //   serving --stop--> leaving --lifetime over--> refusing --idle--> stopped
 //
-// leaving: off the address list, still taking work, since callers hold an old
-// list for its lifetime. refusing: new work is refused as not_run with the other
-// routers' addresses; what runs is finished. stopped: the process exits.
+// leaving: the router is off the address list but still accepts work, because
+// callers may use an old list until its lifetime ends. refusing: new work is
+// refused as not_run with the addresses of the other routers; running work is
+// finished. stopped: the process exits.
 //
-// Guarantees: no step back; refusing begins no sooner than addressLifetime
-// after the notice was confirmed, or after noticeLimit when no control answers;
-// stopped only once nothing is in progress. Thread-safe.
+// Guarantees: the phase never moves backwards. Refusing begins no sooner than
+// addressLifetime after the drain notice was confirmed or, if no control answers,
+// after noticeTimeout has passed. Stopped is reached only when no request is in
+// progress. Thread-safe.
 
 #ifndef FIGRACK_ROUTER_DRAIN_H
 #define FIGRACK_ROUTER_DRAIN_H
@@ -30,8 +32,9 @@
 struct DrainOptions
 {
     Duration addressLifetime = std::chrono::seconds { 10 };
-    Duration spread = std::chrono::milliseconds { 1500 }; ///< Till all routers know of the notice.
-    Duration noticeLimit = std::chrono::seconds { 5 };    ///< For a control to confirm it.
+    Duration propagationTime
+            = std::chrono::milliseconds { 1500 }; ///< Until all routers have applied the notice.
+    Duration noticeTimeout = std::chrono::seconds { 5 }; ///< For a control to confirm the notice.
 };
 
 class Drain
@@ -39,12 +42,14 @@
 public:
     Drain(DrainOptions options, const Clock &clock);
     ~Drain();
-    /// SIGTERM. @return true the first time: the notice is to be sent
+    /// Call on SIGTERM.
+    /// @return true on the first call; the caller must then send the drain notice
     auto onStop() -> bool;
-    /// The controls have confirmed the notice.
+    /// Call when a control has confirmed the drain notice.
     auto onNoticeConfirmed() -> void;
-    /// @param inProgress requests that have not ended
-    /// @return the phase now
+    /// Moves to the next phase when it is due.
+    /// @param inProgress the number of requests that have not ended
+    /// @return the current phase
     auto tick(std::size_t inProgress) -> DrainPhase;
     auto phase() const -> DrainPhase;
 
@@ -52,7 +57,7 @@
     class Machine;
     DrainOptions options_;
     const Clock &clock_;
-    mutable std::mutex mutex_; ///< Lock order: a leaf; nothing is called under it.
+    mutable std::mutex mutex_; ///< Lock order: a leaf; no other lock is taken under it.
     std::unique_ptr<Machine> machine_;
     Instant refuseAt_ {};
     bool confirmed_ = false;
--- a/router/metrics.cpp
+++ b/router/metrics.cpp
@@ -114,7 +114,8 @@
 auto Metrics::text(const Gauges &gauges) -> std::string
 {
     {
-        // Two readers of the page must not both add the same difference.
+        // The lock prevents two concurrent requests for the page from adding the same difference
+        // twice.
         const auto lock = std::scoped_lock { impl_->mutex };
         const auto shown = impl_->retries.Value();
         impl_->retries.Increment(static_cast<double>(gauges.retries) - shown);
@@ -124,7 +125,7 @@
     };
     set("waiting", static_cast<double>(gauges.waiting));
     set("running", static_cast<double>(gauges.running));
-    set("idempotency_keys", static_cast<double>(gauges.openKeys));
+    set("idempotency_keys", static_cast<double>(gauges.heldKeys));
     set("current", gauges.current ? 1 : 0);
     set("revision", static_cast<double>(gauges.revision));
     set("applied_index", static_cast<double>(gauges.appliedIndex));
--- a/router/metrics.h
+++ b/router/metrics.h
@@ -1,7 +1,7 @@
-// The router's metrics, as the Prometheus text page.
+// The router's metrics, exported in the Prometheus text format.
 //
-// Guarantees: thread-safe; labels are bounded: error kinds, and class names up
-// to maxClassLabels, the rest as "other".
+// Guarantees: thread-safe. The number of label values is bounded: the error kinds,
+// and at most maxClassLabels class names; further classes are counted as "other".
 
 #ifndef FIGRACK_ROUTER_METRICS_H
 #define FIGRACK_ROUTER_METRICS_H
@@ -15,13 +15,13 @@
 
 constexpr auto maxClassLabels = std::size_t { 64 };
 
-/// What the page shows of the present moment.
+/// Current values shown on the metrics page.
 struct Gauges
 {
     std::size_t waiting = 0;
     std::size_t running = 0;
-    std::size_t openKeys = 0;
-    std::uint64_t retries = 0; ///< Since the start; never falls.
+    std::size_t heldKeys = 0;
+    std::uint64_t retries = 0; ///< Since the process started; never decreases.
     bool current = false;
     std::uint64_t revision = 0;
     std::uint64_t appliedIndex = 0;
@@ -34,7 +34,7 @@
     ~Metrics();
     auto onRequest(const report::RequestRecord &record) -> void;
     auto onAnnouncement(bool taken) -> void;
-    /// @return the page
+    /// @return the metrics page
     auto text(const Gauges &gauges) -> std::string;
 
 private:
--- a/router/parse.cpp
+++ b/router/parse.cpp
@@ -1,5 +1,6 @@
-// Only the fields that routing needs are read from the JSON; the body goes on as it came. The
-// prompt's text, of a chat the contents of its messages joined, is gathered for the prefix hashes.
+// Only the fields needed for routing are read from the JSON; the body is
+// forwarded unchanged. The prompt text (for chat calls, the concatenated contents
+// of the messages) is collected for the prefix hashes.
 
 #include "router/parse.h"
 
@@ -181,10 +182,10 @@
 
 } // namespace
 
-auto requestIdOf(const http::Request &request, const std::string &made) -> RequestId
+auto requestIdOf(const http::Request &request, const std::string &generated) -> RequestId
 {
     const auto given = request.header("X-Request-Id");
-    return RequestId { isId(given) ? std::string { given } : made };
+    return RequestId { isId(given) ? std::string { given } : generated };
 }
 
 auto parseWork(const http::Request &request, const View &view) -> absl::StatusOr<Work>
--- a/router/parse.h
+++ b/router/parse.h
@@ -1,11 +1,13 @@
-// Reads a caller's HTTP request into Work, or says what is wrong with it.
+// Parses a caller's HTTP request into Work or returns an error that describes the
+// fault.
 //
 //   auto work = parseWork(request, view);
 //   if (!work.ok()) ... errorResponse(work.status(), "not_run") ...
 //
-// Guarantees: no I/O and no state; whatever the bytes, a Work whose class and
-// target the configuration knows, or a typed error; header values that go on to
-// endpoints or back to callers are bounded and printable.
+// Guarantees: no I/O and no state. For any input bytes, the result is either a
+// Work whose class and target exist in the configuration or a typed error. Header
+// values that are forwarded to endpoints or returned to callers are printable and
+// bounded in length.
 
 #ifndef FIGRACK_ROUTER_PARSE_H
 #define FIGRACK_ROUTER_PARSE_H
@@ -21,11 +23,12 @@
 
 namespace figrack::router {
 
-/// @return the request's X-Request-Id when it can be echoed, else made
-auto requestIdOf(const http::Request &request, const std::string &made) -> RequestId;
+/// @param generated the id to use if the request has none that is valid
+/// @return the request's X-Request-Id if it can be echoed, otherwise `generated`
+auto requestIdOf(const http::Request &request, const std::string &generated) -> RequestId;
 
 /// @param request a POST to /v1/completions, /v1/chat/completions or /v1/services/{name}
-/// @return the work without id and mayStart; BadRequest or Unknown*
+/// @return the work with id and mayStart not set, or BadRequest or one of the Unknown* errors
 auto parseWork(const http::Request &request, const View &view) -> absl::StatusOr<Work>;
 
 } // namespace figrack::router
--- a/router/retrybudget.h
+++ b/router/retrybudget.h
@@ -1,6 +1,6 @@
-// The router's one budget of retries, shared by its workers.
+// The router's retry budget, shared by all worker threads.
 //
-// policy::RetryBudget under a mutex; what it decides is told there.
+// Wraps policy::RetryBudget, which makes the decisions, with a mutex.
 
 #ifndef FIGRACK_ROUTER_RETRYBUDGET_H
 #define FIGRACK_ROUTER_RETRYBUDGET_H
@@ -32,7 +32,7 @@
         granted_ += wait ? 1 : 0;
         return wait;
     }
-    /// @return retries allowed since the start
+    /// @return the number of retries granted since the process started
     auto granted() const -> std::uint64_t
     {
         const auto lock = std::scoped_lock { mutex_ };
@@ -45,7 +45,7 @@
     }
 
 private:
-    mutable std::mutex mutex_; ///< Lock order: a leaf; nothing is called under it.
+    mutable std::mutex mutex_; ///< Lock order: a leaf; no other lock is taken under it.
     policy::RetryBudget budget_;
     std::uint64_t granted_ = 0;
 };
--- a/router/router.cpp
+++ b/router/router.cpp
@@ -1,5 +1,7 @@
-// Construction order is dependency order: view, link, scheduler, dispatcher, claims, callers,
-// server. One timer drives what is due without an event: queue deadlines, keys, the drain.
+// The objects are constructed in dependency order: view, link, scheduler,
+// dispatcher, claims, callers, server. One timer drives everything that is not
+// triggered by an event: queue deadlines, idempotency keys, cache polls and the
+// drain.
 
 #include "router/router.h"
 
@@ -37,7 +39,8 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// Rises from one life to the next as long as the wall clock does, and differs in any case.
+/// Returns an incarnation that is higher than those of earlier processes as long as the wall clock
+/// has advanced. The random low bits make it differ even if the clock has not.
 auto newIncarnation(const Clock &clock, std::uint64_t seed) -> Incarnation
 {
     constexpr auto randomBits = 20U;
@@ -92,7 +95,7 @@
 {
     auto out = DrainOptions {};
     out.addressLifetime = options.addressLifetime;
-    out.spread = options.drainSpread;
+    out.propagationTime = options.drainPropagationTime;
     return out;
 }
 
@@ -138,7 +141,7 @@
     auto scheduleTick() -> void;
     auto tick() -> void;
     auto pollCaches() -> void;
-    auto sendNotice() -> void;
+    auto sendDrainNotice() -> void;
     auto finishStop() -> void;
 
     Instant cachePollAt_ {};
@@ -207,7 +210,7 @@
 {
     auto hooks = SchedulerHooks {};
     hooks.isCurrent = [this] { return link.isCurrent(); };
-    hooks.onWantedCold = [this] { link.wantDemandNow(); };
+    hooks.onColdDemand = [this] { link.requestDemandReport(); };
     return hooks;
 }
 
@@ -286,10 +289,10 @@
         return;
     view.setSelfLeaving();
     link.setLeaving();
-    sendNotice();
+    sendDrainNotice();
 }
 
-auto Router::Impl::sendNotice() -> void
+auto Router::Impl::sendDrainNotice() -> void
 {
     auto notice = proto::DrainNotice { options.self, incarnation, false };
     link.callLeader(std::move(notice), noticeTimeout,
@@ -300,7 +303,7 @@
                         if (reply.ok())
                             self->drain.onNoticeConfirmed();
                         else if (self->drain.phase() == DrainPhase::Leaving)
-                            self->sendNotice();
+                            self->sendDrainNotice();
                     });
 }
 
--- a/router/router.h
+++ b/router/router.h
@@ -1,12 +1,12 @@
-// The router process, put together.
+// Assembles the parts of the router process.
 //
-//   auto router = Router { context, options, clock, keys, seed };
+//   auto router = Router { context, options, clock, keys, seed, onStopped };
 //   auto status = router.start();
-//   ... context runs on a pool of threads ...
-//   router.requestStop();            // SIGTERM; onStopped follows once all is finished
+//   ... run context on a pool of threads ...
+//   router.requestStop();            // on SIGTERM; onStopped is called when all work is finished
 //
-// Lock order over the package: Scheduler::mutex_ (1), View::mutex_ (2); all
-// others are leaves, under which nothing is called.
+// Lock order in this package: Scheduler::mutex_ (1), View::mutex_ (2). All other
+// mutexes are leaves: no other lock is taken while one of them is held.
 
 #ifndef FIGRACK_ROUTER_ROUTER_H
 #define FIGRACK_ROUTER_ROUTER_H
@@ -27,19 +27,19 @@
 class Router
 {
 public:
-    /// @param seed of every random choice; also makes this life's incarnation unique
+    /// @param seed seeds all random choices and makes this process's incarnation unique
     /// @param onStopped called once after a planned stop has finished
     Router(boost::asio::io_context &context, const RouterOptions &options, const Clock &clock,
            std::shared_ptr<proto::PeerKeys> keys, std::uint64_t seed,
            std::function<void()> onStopped);
     ~Router();
-    /// @return BadSettings when the caller address cannot be bound
+    /// @return BadSettings if the address for callers cannot be bound
     auto start() -> absl::Status;
-    /// @return the port that callers connect to
+    /// @return the port on which the router listens for callers
     auto port() const -> std::uint16_t;
-    /// Begins the planned stop; see router/drain.h.
+    /// Starts the planned stop; see router/drain.h.
     auto requestStop() -> void;
-    /// @return true while new work may be taken
+    /// @return true while the configuration is known to be current, so that new work may start
     auto isCurrent() const -> bool;
     auto phase() const -> DrainPhase;
 
--- a/router/scheduler.cpp
+++ b/router/scheduler.cpp
@@ -1,7 +1,8 @@
-// One state a target holds its cached view and its counts, so that the work for one request
-// follows its own target's replicas. A request that was refused while its model was cold has been
-// told when to come back; until then it counts as demand, or the model would be as cold on its
-// return.
+// Each target has one state with its cached view and its counters, so that the
+// cost of a request depends only on the number of its own target's replicas. A
+// request that was refused while its model was cold was told when to retry. It is
+// counted as demand until then, because otherwise the model would still be cold
+// when the request returns.
 
 #include "router/scheduler.h"
 
@@ -13,15 +14,15 @@
 namespace {
 
 constexpr auto serviceMeanWeight = 0.1;
-/// Added to the time at which a refused request is expected back.
-constexpr auto comingBackGrace = Millis { 500 };
-/// Bounds what one class of one target keeps of requests refused while cold.
-constexpr auto maxComingBack = std::size_t { 64 };
+/// Added to the time at which a refused request is expected to return, ms.
+constexpr auto expectedRetryGrace = Millis { 500 };
+/// The most expected retries recorded per class of a target.
+constexpr auto maxExpectedRetries = std::size_t { 64 };
 constexpr auto maxIdleStates = std::size_t { 4096 };
-/// How long a request does not go to a replica again that refused it, or broke off.
+/// How long, in ms, a request avoids a replica that refused it, or on which its dispatch failed.
 constexpr auto avoidRefused = Millis { 100 };
 constexpr auto avoidFailed = Millis { 1000 };
-/// Requests passed over in one go because they avoid what is free.
+/// The most requests skipped in one pass because they avoid the replicas with free slots.
 constexpr auto maxSkipped = std::size_t { 16 };
 
 using policy::DispatchResult;
@@ -74,13 +75,15 @@
     return state.cached.view;
 }
 
-/// Slots that are free over the replicas. Past a size the sum is taken at once: it does not see
-/// that one replica has more waiting than another has free, but does not cost a walk a request.
+/// Returns the number of free slots over all replicas. Above maxExactReplicas replicas it is
+/// computed from the total load, without iterating over the replicas for each request. This
+/// estimate is too low when some replicas are overloaded, because their excess is deducted from the
+/// free slots of the others.
 auto Scheduler::freeSlots(const TargetView &target) const -> std::uint32_t
 {
-    constexpr auto walked = std::size_t { 64 };
+    constexpr auto maxExactReplicas = std::size_t { 64 };
     auto free = std::uint32_t { 0 };
-    if (target.replicas.size() > walked) {
+    if (target.replicas.size() > maxExactReplicas) {
         const auto all = static_cast<std::uint32_t>(target.replicas.size()) * target.slots;
         return all - std::min(all, chooser_.estimatedLoad(target.replicas.front().model));
     }
@@ -101,7 +104,7 @@
     view.freeSlots = freeSlots(target);
     view.loading = target.loading;
     if (target.loading > 0) {
-        // The tables hold the leader's wall time; the queue counts on this router's own scale.
+        // The tables hold the leader's wall time; the queue uses this router's monotonic time.
         const auto wall = clock_.wallNow().time_since_epoch().count();
         view.nextReady = now() + std::max<Millis>(target.nextReadyWall - wall, 0);
     }
@@ -112,17 +115,17 @@
     return view;
 }
 
-auto Scheduler::submit(const Waiting &waiting, Done done) -> Ticket
+auto Scheduler::submit(const SchedulingRequest &waiting, Done done) -> Ticket
 {
     const auto current = hooks_.isCurrent();
     auto calls = Calls {};
-    auto wantedCold = false;
+    auto coldDemand = false;
     auto ticket = Ticket {};
     {
         const auto lock = std::scoped_lock { mutex_ };
         ticket = nextTicket_++;
         auto &target = state(waiting.target);
-        noteArrival(target, waiting.classId);
+        recordArrival(target, waiting.classId);
         auto entry = Entry {};
         entry.waiting = waiting;
         entry.done = std::move(done);
@@ -132,7 +135,7 @@
                     at,     at + waiting.startTarget,  at + waiting.finishTarget };
         const auto view = modelView(target);
         entry.cold = view.ready == 0;
-        wantedCold = entry.cold && !waiting.target.isService();
+        coldDemand = entry.cold && !waiting.target.isService();
         if (!current) {
             calls.push_back({ std::move(entry.done), Refused { ErrorKind::NotCurrent, 0 } });
         } else {
@@ -145,12 +148,12 @@
             if (verdict.refusal)
                 refuse(ticket, { verdict.refusal->kind, verdict.refusal->retryAfter }, calls);
             else
-                pump(target, calls);
+                grantWaiting(target, calls);
         }
     }
     deliver(calls);
-    if (wantedCold)
-        hooks_.onWantedCold();
+    if (coldDemand)
+        hooks_.onColdDemand();
     return ticket;
 }
 
@@ -159,12 +162,12 @@
 {
     const auto current = hooks_.isCurrent();
     auto calls = Calls {};
-    auto wantedCold = false;
+    auto coldDemand = false;
     {
         const auto lock = std::scoped_lock { mutex_ };
         const auto found = entries_.find(ticket);
         FIGRACK_CHECK(found != entries_.end() && found->second.isRunning,
-                      "only a dispatched request is put back");
+                      "only a dispatched request can be queued again");
         auto &entry = found->second;
         const auto aside = result == DispatchResult::Refused ? avoidRefused : avoidFailed;
         entry.avoidUntil[entry.replica.id] = now() + aside;
@@ -176,15 +179,15 @@
         ++target.waiting;
         if (current) {
             queue_.putBack(entry.queued);
-            pump(target, calls);
-            wantedCold = refresh(target).replicas.empty() && !entry.waiting.target.isService();
+            grantWaiting(target, calls);
+            coldDemand = refresh(target).replicas.empty() && !entry.waiting.target.isService();
         } else {
             refuse(ticket, { ErrorKind::NotCurrent, 0 }, calls);
         }
     }
     deliver(calls);
-    if (wantedCold)
-        hooks_.onWantedCold();
+    if (coldDemand)
+        hooks_.onColdDemand();
 }
 
 auto Scheduler::cancel(Ticket ticket) -> void
@@ -219,11 +222,11 @@
         const auto found = entries_.find(ticket);
         if (found == entries_.end())
             return;
-        FIGRACK_CHECK(found->second.isRunning, "a waiting request ends by its placement");
+        FIGRACK_CHECK(found->second.isRunning, "only a dispatched request can be ended");
         release(found->second, result);
         auto &target = state(found->second.waiting.target);
         entries_.erase(found);
-        pump(target, calls);
+        grantWaiting(target, calls);
     }
     deliver(calls);
 }
@@ -252,9 +255,9 @@
     auto &entry = found->second;
     auto &target = state(entry.waiting.target);
     --target.waiting;
-    const auto comesBack = refused.retryAfter >= 0 && refused.kind != ErrorKind::NotCurrent;
-    if (comesBack && refresh(target).replicas.empty())
-        noteComingBack(target, entry.waiting.classId, refused.retryAfter);
+    const auto willRetry = refused.retryAfter >= 0 && refused.kind != ErrorKind::NotCurrent;
+    if (willRetry && refresh(target).replicas.empty())
+        recordExpectedRetry(target, entry.waiting.classId, refused.retryAfter);
     calls.push_back({ std::move(entry.done), refused });
     entries_.erase(found);
 }
@@ -272,7 +275,7 @@
     }
 }
 
-auto Scheduler::pump(TargetState &state, Calls &calls) -> void
+auto Scheduler::grantWaiting(TargetState &state, Calls &calls) -> void
 {
     auto skipped = std::vector<policy::QueuedRequest> {};
     while (state.waiting > skipped.size() && skipped.size() < maxSkipped) {
@@ -294,13 +297,13 @@
         return Step::Nothing;
     const auto found = entries_.find(next->ticket);
     FIGRACK_CHECK(found != entries_.end() && !found->second.isRunning,
-                  "the queue holds only requests that wait");
+                  "the queue holds only waiting requests");
     auto &entry = found->second;
     const auto index = chooseFor(entry, state);
     if (!index) {
         skipped.push_back(*next);
-        // One that avoids a replica does not stand in the way of those behind it.
-        return avoidsSome(entry) ? Step::Skipped : Step::Nothing;
+        // A request that avoids a replica must not block the requests queued behind it.
+        return avoidsAnyReplica(entry) ? Step::Skipped : Step::Nothing;
     }
     entry.replica = state.cached.view.candidates[*index];
     entry.isRunning = true;
@@ -316,7 +319,7 @@
     return Step::Granted;
 }
 
-auto Scheduler::avoidsSome(const Entry &entry) const -> bool
+auto Scheduler::avoidsAnyReplica(const Entry &entry) const -> bool
 {
     const auto at = now();
     return std::any_of(entry.avoidUntil.begin(), entry.avoidUntil.end(),
@@ -329,9 +332,10 @@
     auto request = policy::ChoiceRequest {};
     request.model = entry.queued.model;
     request.prefix = entry.waiting.prefix;
-    if (!avoidsSome(entry))
+    if (!avoidsAnyReplica(entry))
         return chooser_.choose(request, view.replicas, view.slots, now());
-    // To ask at once again where it just failed would only spend the request's attempts.
+    // Retrying immediately on the replica that just failed would only use up the request's
+    // attempts.
     auto others = std::vector<policy::ReplicaInfo> {};
     auto indexes = std::vector<std::size_t> {};
     for (auto i = std::size_t { 0 }; i < view.replicas.size(); ++i) {
@@ -381,7 +385,7 @@
     for (auto &[key, target] : states_) {
         if (target.waiting == 0)
             continue;
-        pump(target, calls);
+        grantWaiting(target, calls);
         if (target.waiting == 0)
             continue;
         const auto view = modelView(target);
@@ -399,7 +403,7 @@
     {
         const auto lock = std::scoped_lock { mutex_ };
         for (auto &[key, target] : states_)
-            pump(target, calls);
+            grantWaiting(target, calls);
     }
     deliver(calls);
 }
@@ -419,7 +423,7 @@
         }
         if (current) {
             for (auto &[key, target] : states_)
-                pump(target, calls);
+                grantWaiting(target, calls);
         }
     }
     deliver(calls);
@@ -439,22 +443,23 @@
 
 auto Scheduler::retryAfter(TargetState &state) -> Millis
 {
-    // Each caller a later time, so that they do not come back together.
+    // The queue returns a later time to each caller, so that they do not all retry together.
     return queue_.retryAfter(state.target.queueKey(), modelView(state), now());
 }
 
-auto Scheduler::noteArrival(TargetState &state, const ClassId &classId) -> void
+auto Scheduler::recordArrival(TargetState &state, const ClassId &classId) -> void
 {
     ++state.demand[classId].arrived;
 }
 
-auto Scheduler::noteComingBack(TargetState &state, const ClassId &classId, Millis after) -> void
+auto Scheduler::recordExpectedRetry(TargetState &state, const ClassId &classId, Millis after)
+        -> void
 {
-    auto &times = state.demand[classId].comingBack;
+    auto &times = state.demand[classId].expectedRetries;
     const auto at = now();
     std::erase_if(times, [at](Millis until) { return until <= at; });
-    if (times.size() < maxComingBack)
-        times.push_back(at + after + comingBackGrace);
+    if (times.size() < maxExpectedRetries)
+        times.push_back(at + after + expectedRetryGrace);
 }
 
 auto Scheduler::takeDemand() -> std::vector<proto::DemandRow>
@@ -485,8 +490,8 @@
         if (target.target.isService())
             continue;
         for (auto &[classId, count] : target.demand) {
-            std::erase_if(count.comingBack, [at](Millis until) { return until <= at; });
-            const auto returning = remaining(count.comingBack, at);
+            std::erase_if(count.expectedRetries, [at](Millis until) { return until <= at; });
+            const auto returning = remaining(count.expectedRetries, at);
             if (count.arrived == 0 && returning == 0)
                 continue;
             auto &out = row(target.target.model, classId);
@@ -506,7 +511,7 @@
         const auto &state = entry.second;
         return state.waiting == 0 && state.running == 0
                 && std::all_of(state.demand.begin(), state.demand.end(), [](const auto &demand) {
-                       return demand.second.arrived == 0 && demand.second.comingBack.empty();
+                       return demand.second.arrived == 0 && demand.second.expectedRetries.empty();
                    });
     });
 }
--- a/router/scheduler.h
+++ b/router/scheduler.h
@@ -1,17 +1,19 @@
-// Who waits at this router, and which replica each request gets.
+// Holds the requests that wait at this router and assigns a replica to each.
 //
-//   auto ticket = scheduler.submit(work, [](Placement placement) { ... });
+//   auto ticket = scheduler.submit(request, [](Placement placement) { ... });
 //   ... dispatch to the replica granted ...
 //   scheduler.end(ticket, policy::DispatchResult::Finished);
 //
-// The deadline queue and the replica chooser of policy/ under one mutex, fed
-// from the view. Grants are made when a request comes, a stream ends, a load
-// report or a change of the tables arrives, and on tick().
+// Combines the deadline queue and the replica chooser of policy/ under one mutex
+// and supplies them with data from the view. Replicas are granted when a request
+// arrives, when a stream ends, when a load report or a table change arrives, and
+// on tick().
 //
-// Guarantees: each submit() and requeue() is answered exactly once, by a grant
-// or a refusal; tick() refuses what has run out of time and, while the router
-// is not current, everything that waits; nothing is granted while it is not
-// current. Callbacks run outside the mutex. Thread-safe.
+// Guarantees: each submit() and requeue() is answered exactly once, by a grant or
+// a refusal. tick() refuses requests whose time has run out and, while the
+// router's configuration is not known to be current, all waiting requests. Nothing
+// is granted while the configuration is not current. Callbacks run outside the
+// mutex. Thread-safe.
 
 #ifndef FIGRACK_ROUTER_SCHEDULER_H
 #define FIGRACK_ROUTER_SCHEDULER_H
@@ -36,27 +38,27 @@
 
 using policy::Millis;
 
-/// What the scheduler needs to know of a request.
-struct Waiting
+/// The properties of a request that the scheduler uses.
+struct SchedulingRequest
 {
     Target target;
     ClassId classId;
     std::string caller;
     std::vector<std::uint64_t> prefix;
-    Millis startTarget = 0;  ///< From now.
-    Millis finishTarget = 0; ///< From now.
+    Millis startTarget = 0;  ///< ms from now.
+    Millis finishTarget = 0; ///< ms from now.
 };
 
 struct Granted
 {
     Candidate replica;
-    bool cold = false; ///< No replica was ready when the request came.
-    Millis waited = 0;
+    bool cold = false; ///< No replica was ready when the request arrived.
+    Millis waited = 0; ///< ms from arrival to the grant.
 };
 struct Refused
 {
     ErrorKind kind = ErrorKind::QueueFull;
-    Millis retryAfter = 0; ///< ms from now; negative: do not come back.
+    Millis retryAfter = 0; ///< ms from now; negative: the caller should not retry.
 };
 using Placement = std::variant<Granted, Refused>;
 using Ticket = std::uint64_t;
@@ -65,15 +67,15 @@
 {
     policy::QueueOptions queue;
     policy::ChoiceOptions choice;
-    Millis expectedLoad = 2000; ///< Until the view has seen loads.
+    Millis expectedLoad = 2000; ///< ms; used until the view has observed model loads.
     std::uint64_t seed = 1;
 };
 
-/// What the scheduler asks of the rest of the router. Called outside its mutex.
+/// Callbacks into the rest of the router. Called outside the scheduler's mutex.
 struct SchedulerHooks
 {
-    std::function<bool()> isCurrent;    ///< Whether new work may start.
-    std::function<void()> onWantedCold; ///< A model without a ready replica is wanted.
+    std::function<bool()> isCurrent;    ///< Returns whether new work may start.
+    std::function<void()> onColdDemand; ///< A request arrived for a model without a ready replica.
 };
 
 class Scheduler
@@ -83,17 +85,18 @@
 
     Scheduler(SchedulerOptions options, const Clock &clock, const View &view, SchedulerHooks hooks);
 
-    /// @param done called once, perhaps before submit() returns
-    /// @return the ticket, also of a request that was refused
-    auto submit(const Waiting &waiting, Done done) -> Ticket;
-    /// A dispatch ended without an answer and another try is wanted.
-    /// @param result what became of the dispatch
-    /// @param startBy ms from now that it may wait
+    /// @param done called once, possibly before submit() returns
+    /// @return the ticket, which is also assigned to a request that is refused
+    auto submit(const SchedulingRequest &waiting, Done done) -> Ticket;
+    /// Queues a request again after its dispatch ended without an answer.
+    /// @param result how the dispatch ended
+    /// @param startBy how long the request may wait, in ms from now
     auto requeue(Ticket ticket, policy::DispatchResult result, Millis startBy, Done done) -> void;
-    /// The caller went away. A waiting request is answered Cancelled.
+    /// Call when the caller has disconnected. A waiting request is answered with Cancelled; a
+    /// running one is left alone.
     auto cancel(Ticket ticket) -> void;
     auto onFirstToken(Ticket ticket) -> void;
-    /// The request is over; its slot is free.
+    /// Call when the request has ended. Frees its slot.
     auto end(Ticket ticket, policy::DispatchResult result) -> void;
 
     auto tick() -> void;
@@ -102,21 +105,21 @@
     auto onCacheEvents(const policy::CacheEvents &events) -> void;
     auto wantsCacheSnapshot(const EndpointId &endpoint) const -> bool;
 
-    /// @return rows for the demand report; arrivals count from the last call
+    /// @return the rows of the demand report; arrivals are counted since the previous call
     auto takeDemand() -> std::vector<proto::DemandRow>;
     auto waiting() const -> std::size_t;
     auto running() const -> std::size_t;
-    /// @return engines that this router dispatched to, the latest last; forgets them
+    /// @return the engines that this router dispatched to since the previous call
     auto takeUsedEngines() -> std::map<EndpointId, Address>;
 
 private:
     struct Entry
     {
-        Waiting waiting;
+        SchedulingRequest waiting;
         policy::QueuedRequest queued;
-        Done done;                               ///< Set while it waits.
-        Candidate replica;                       ///< While it runs.
-        std::map<EndpointId, Millis> avoidUntil; ///< Replicas that failed this very request.
+        Done done;                               ///< Set while the request waits.
+        Candidate replica;                       ///< Valid while the request runs.
+        std::map<EndpointId, Millis> avoidUntil; ///< Replicas that failed this request.
         Millis dispatchedAt = 0;
         bool isRunning = false;
         bool cold = false;
@@ -135,7 +138,9 @@
     struct DemandCount
     {
         std::uint32_t arrived = 0;
-        std::vector<Millis> comingBack; ///< Refused while cold, till when each is expected back.
+        std::vector<Millis> expectedRetries; ///< For requests refused while the model
+                                             ///< was cold: when each is expected back at
+                                             ///< the latest.
     };
     struct TargetState
     {
@@ -143,7 +148,7 @@
         CachedTarget cached;
         std::size_t waiting = 0;
         std::size_t running = 0;
-        double serviceMs = 0; ///< Mean time that a stream holds a slot.
+        double serviceMs = 0; ///< Mean time in ms that a request holds a slot.
         std::map<ClassId, DemandCount> demand;
     };
 
@@ -152,20 +157,20 @@
     auto refresh(TargetState &state) -> const TargetView &;
     auto freeSlots(const TargetView &target) const -> std::uint32_t;
     auto modelView(TargetState &state) -> policy::ModelView;
-    auto pump(TargetState &state, Calls &calls) -> void;
+    auto grantWaiting(TargetState &state, Calls &calls) -> void;
     enum class Step : std::uint8_t { Granted, Skipped, Nothing };
     auto grantOne(TargetState &state, std::vector<policy::QueuedRequest> &skipped, Calls &calls)
             -> Step;
     auto chooseFor(const Entry &entry, TargetState &state) -> std::optional<std::size_t>;
-    auto avoidsSome(const Entry &entry) const -> bool;
+    auto avoidsAnyReplica(const Entry &entry) const -> bool;
     auto release(Entry &entry, policy::DispatchResult result) -> void;
     auto refuse(Ticket ticket, Refused refused, Calls &calls) -> void;
     auto refuseAll(ErrorKind kind, Calls &calls) -> void;
     auto expire(Calls &calls) -> void;
     auto recheckAll(Calls &calls) -> void;
     auto retryAfter(TargetState &state) -> Millis;
-    auto noteArrival(TargetState &state, const ClassId &classId) -> void;
-    auto noteComingBack(TargetState &state, const ClassId &classId, Millis after) -> void;
+    auto recordArrival(TargetState &state, const ClassId &classId) -> void;
+    auto recordExpectedRetry(TargetState &state, const ClassId &classId, Millis after) -> void;
     auto dropIdleStates() -> void;
     static auto deliver(Calls &calls) -> void;
 
@@ -173,11 +178,11 @@
     const Clock &clock_;
     const View &view_;
     SchedulerHooks hooks_;
-    mutable std::mutex mutex_; ///< Lock order: 1, before View::mutex_.
+    mutable std::mutex mutex_; ///< Lock order: 1, taken before View::mutex_.
     policy::RequestQueue queue_;
     policy::ReplicaChooser chooser_;
     std::unordered_map<Ticket, Entry> entries_;
-    std::map<ModelId, TargetState> states_; ///< By Target::queueKey().
+    std::map<ModelId, TargetState> states_; ///< Keyed by Target::queueKey().
     std::map<EndpointId, Address> usedEngines_;
     Ticket nextTicket_ = 1;
     std::size_t running_ = 0;
--- a/router/settings.cpp
+++ b/router/settings.cpp
@@ -1,5 +1,5 @@
-// The schema is one table; the options are read from it key by key, so that a key that is in
-// one and not in the other fails the first test that starts a router.
+// The schema is one table, and the options are read from it key by key. A key that
+// is missing from either makes the first test that starts a router fail.
 
 #include "router/settings.h"
 
@@ -172,8 +172,9 @@
     options.announceProxies = splitList(settings.text("announce.proxies"));
     readBounds(settings, options);
     readTimes(settings, options);
-    // Past a lease's length a router has applied the notice or serves nobody.
-    options.drainSpread = options.viewLease.length;
+    // After one lease length, every router has either applied the drain notice or lost its lease
+    // and serves no requests.
+    options.drainPropagationTime = options.viewLease.length;
     if (options.viewLease.renewEvery * 2 > options.viewLease.length)
         return makeError(ErrorKind::BadSettings,
                          "lease.renew_every must be at most half of lease.length");
--- a/router/testing/fakecontrol.h
+++ b/router/testing/fakecontrol.h
@@ -1,5 +1,5 @@
-// A control process as a router's link sees it: a channel server over loopback that serves a
-// list of commands and answers as told.
+// A fake control process for tests of the router's link: a channel server on
+// loopback that serves a list of commands and gives configured answers.
 
 #ifndef FIGRACK_ROUTER_TESTING_FAKECONTROL_H
 #define FIGRACK_ROUTER_TESTING_FAKECONTROL_H
@@ -22,7 +22,7 @@
 
 namespace figrack::router {
 
-/// An io_context with threads that end before what the handlers use.
+/// An io_context whose threads end before the objects that the handlers use are destroyed.
 class Threads
 {
 public:
@@ -51,7 +51,7 @@
     std::vector<std::thread> threads_;
 };
 
-/// Waits for an event with a generous limit; no test's verdict is that something was fast.
+/// Waits up to 30 s for an event. The limit is generous because no test asserts a short duration.
 inline auto eventually(const std::function<bool()> &holds) -> bool
 {
     constexpr auto limit = std::chrono::seconds { 30 };
@@ -94,7 +94,7 @@
         return out;
     }
 
-    /// Commits a command: subscribers get it pushed.
+    /// Commits a command and pushes it to the subscribers.
     auto commit(const state::Command &command) -> LogIndex
     {
         const auto lock = std::scoped_lock { mutex_ };
@@ -103,7 +103,7 @@
             (void)peer->send({ 0, batchFrom(next) });
         return LogIndex { log_.size() };
     }
-    /// Takes over another control's log, without telling anybody.
+    /// Copies another control's log without notifying the subscribers.
     auto copyLog(FakeControl &from) -> void
     {
         auto log = std::vector<std::string> {};
@@ -155,11 +155,11 @@
     std::atomic<bool> grants = true;
     std::atomic<bool> registersOnJoin = true;
     std::atomic<bool> answersFeed = true;
-    std::atomic<std::uint64_t> required = 0; ///< Revision that a renewal needs.
+    std::atomic<std::uint64_t> required = 0; ///< The revision required for a lease renewal.
     std::atomic<std::uint32_t> voters = 1;
     std::atomic<int> joins = 0;
     std::atomic<int> claims = 0;
-    std::atomic<std::uint64_t> joinIndexAhead = 0; ///< Added to the index that a join tells.
+    std::atomic<std::uint64_t> joinIndexAhead = 0; ///< Added to the index returned for a join.
     std::string leaderHint;
 
 private:
--- a/router/testing/fakes.h
+++ b/router/testing/fakes.h
@@ -1,5 +1,6 @@
-// Stand-ins at the dispatcher's interfaces: an engine that follows a script, a caller's
-// connection that remembers what it was given, and a leader that answers as told.
+// Fakes for the dispatcher's interfaces: an engine that follows a script, a
+// caller's connection that records what it receives, and a leader that gives
+// configured answers.
 
 #ifndef FIGRACK_ROUTER_TESTING_FAKES_H
 #define FIGRACK_ROUTER_TESTING_FAKES_H
@@ -30,8 +31,9 @@
 
 namespace asio = boost::asio;
 
-/// Runs handlers until done() holds; whenever none is ready, `idle` lets virtual time pass.
-/// @return false when it does not hold after much time
+/// Runs handlers until done() returns true. When no handler is ready, calls `idle`, which advances
+/// virtual time.
+/// @return false if done() is still false after 20000 rounds
 template<typename Done, typename Idle>
 auto runUntil(asio::io_context &context, Done done, Idle idle) -> bool
 {
@@ -44,31 +46,32 @@
     return done();
 }
 
-/// What one dispatch meets.
+/// The engine's behavior towards one dispatch.
 struct Script
 {
-    enum class How : std::uint8_t { Answer, Refuse, Break };
-    How how = How::Answer; ///< Refuse: no byte leaves. Break: some may have, no head comes.
+    enum class Behavior : std::uint8_t { Answer, Refuse, Break };
+    Behavior behavior = Behavior::Answer; ///< Refuse: no byte is sent. Break: some bytes may have
+                                          ///< been sent, but no response head arrives.
     std::uint32_t status = 200;
     http::Headers headers;
     std::vector<std::string> chunks;
-    bool cut = false;  ///< The body breaks off after the chunks.
-    bool hang = false; ///< After the chunks nothing comes until the stream is aborted.
-    int turns = 0;     ///< Others' turns that pass before each chunk.
-    std::function<void()> beforeHead;     ///< While the head is awaited.
-    std::function<void(int)> beforeChunk; ///< Before each read, with its number.
+    bool cut = false;  ///< The connection fails after the chunks.
+    bool hang = false; ///< After the chunks, read() blocks until the stream is aborted.
+    int yields = 0;    ///< How often to yield to other handlers before each chunk.
+    std::function<void()> beforeHead;     ///< Called while the head is awaited.
+    std::function<void(int)> beforeChunk; ///< Called before each read with its number.
 };
 
 inline auto refuse() -> Script
 {
     auto script = Script {};
-    script.how = Script::How::Refuse;
+    script.behavior = Script::Behavior::Refuse;
     return script;
 }
-inline auto breakOff() -> Script
+inline auto breakConnection() -> Script
 {
     auto script = Script {};
-    script.how = Script::How::Break;
+    script.behavior = Script::Behavior::Break;
     return script;
 }
 inline auto answerWith(std::uint32_t status, std::string body) -> Script
@@ -93,7 +96,7 @@
     return script;
 }
 
-/// data events "t<from>" up to, not with, "t<to>".
+/// @return the data events from "t<from>" to "t<to>", excluding the latter
 inline auto tokens(int from, int to) -> std::string
 {
     auto text = std::string {};
@@ -113,7 +116,7 @@
     auto headers() const -> const http::Headers & override { return script_.headers; }
     auto read(Duration) -> asio::awaitable<absl::StatusOr<std::string>> override
     {
-        for (auto turn = 0; turn < script_.turns; ++turn)
+        for (auto yielded = 0; yielded < script_.yields; ++yielded)
             co_await asio::post(asio::use_awaitable);
         if (script_.beforeChunk)
             script_.beforeChunk(static_cast<int>(next_));
@@ -148,12 +151,12 @@
     asio::steady_timer *timer_ = nullptr;
 };
 
-/// All endpoints at once; scripts are taken in order, or by the request's body.
+/// Plays all endpoints. Scripts are used in order, or selected by the request's body.
 class FakeEngines
 {
 public:
     auto push(Script script) -> void { scripts_.push_back(std::move(script)); }
-    /// For a request with this body, whatever its order.
+    /// Adds a script for a request with this body, regardless of the order of requests.
     auto pushFor(const std::string &body, Script script) -> void
     {
         byBody_[body].push_back(std::move(script));
@@ -161,10 +164,10 @@
     auto open(http::ClientRequest request, Duration)
             -> asio::awaitable<http::ClientResult<std::unique_ptr<http::ClientStream>>>
     {
-        auto script = take(request.body);
+        auto script = nextScript(request.body);
         const auto mayStart = request.mayStart;
         requests.push_back(std::move(request));
-        if (script.how == Script::How::Refuse)
+        if (script.behavior == Script::Behavior::Refuse)
             co_return http::ClientError { makeError(ErrorKind::EndpointFailed, "refused"),
                                           http::Sent::Nothing };
         if (beforeMayStart)
@@ -177,20 +180,20 @@
         ++ran;
         if (script.beforeHead)
             script.beforeHead();
-        if (script.how == Script::How::Break)
+        if (script.behavior == Script::Behavior::Break)
             co_return http::ClientError { makeError(ErrorKind::EndpointFailed, "broken"),
                                           http::Sent::MaybeSome };
         co_return std::make_unique<FakeStream>(std::move(script), aborts);
     }
 
     std::vector<http::ClientRequest> requests;
-    int ran = 0; ///< Requests of which a byte may have left.
+    int ran = 0; ///< Requests of which a byte may have been sent.
     int heldBack = 0;
-    std::function<void()> beforeMayStart; ///< While the connection is made.
+    std::function<void()> beforeMayStart; ///< Called while the connection is being made.
     std::shared_ptr<int> aborts = std::make_shared<int>(0);
 
 private:
-    auto take(const std::string &body) -> Script
+    auto nextScript(const std::string &body) -> Script
     {
         auto &list = byBody_[body].empty() ? scripts_ : byBody_[body];
         if (list.empty())
@@ -241,7 +244,7 @@
         callback_ = std::move(callback);
     }
     auto started() const -> bool override { return started_; }
-    auto leave() -> void
+    auto disconnect() -> void
     {
         gone_ = true;
         if (callback_)
@@ -249,7 +252,7 @@
     }
 
     http::Response response;
-    std::string body; ///< Of a stream.
+    std::string body; ///< The bytes written to the stream.
     bool finished = false;
     int answers = 0;
     std::function<void()> onWrite;
--- a/router/testing/fleet.h
+++ b/router/testing/fleet.h
@@ -1,4 +1,4 @@
-// A view with a small fleet in it, made by the commands that a feed would bring.
+// A view of a small fleet, built with the same commands that a feed delivers.
 
 #ifndef FIGRACK_ROUTER_TESTING_FLEET_H
 #define FIGRACK_ROUTER_TESTING_FLEET_H
--- a/router/testing/tst_callers.cpp
+++ b/router/testing/tst_callers.cpp
@@ -1,4 +1,5 @@
-// The calls of docs/API.md against scripted engines and a leader that answers as told.
+// Tests the HTTP calls of docs/API.md with scripted engines and a leader that
+// gives configured answers.
 
 #include <doctest/doctest.h>
 
@@ -128,7 +129,7 @@
               == std::string_view { errorOf(response).at("ran").as_string() });
         return boost::json::value_to<std::string>(errorOf(response).at("ran"));
     }
-    /// @return requests counted so far, by the metrics page
+    /// @return the number of requests counted so far, read from the metrics page
     auto recorded(const std::string &end) -> int
     {
         const auto page = get("/metrics").body;
@@ -196,7 +197,7 @@
     CHECK(get("/nothing").status == 400);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "an answer comes with its request id, and is recorded once")
+TEST_CASE_FIXTURE(CallersFixture, "an answer carries its request id and is recorded once")
 {
     engines.push(answerWith(200, "here lies"));
     const auto response = complete({ { "X-Request-Id", "mine" } });
@@ -206,7 +207,7 @@
     CHECK(recorded("answered") == 1);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "a router that cannot know it is current takes no new work")
+TEST_CASE_FIXTURE(CallersFixture, "a router that is not known to be current accepts no new work")
 {
     current = false;
     const auto response = complete();
@@ -220,7 +221,7 @@
     CHECK(recorded("refused") == 2);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "a lease that lapses while a request waits refuses it as not_run")
+TEST_CASE_FIXTURE(CallersFixture, "a waiting request is refused as not_run when the lease expires")
 {
     fleet.addModel("letters");
     asio::post(context, [this] {
@@ -234,8 +235,7 @@
     CHECK(ran(response) == "not_run");
 }
 
-TEST_CASE_FIXTURE(CallersFixture,
-                  "a stopping router serves for the lifetime, then refuses new work")
+TEST_CASE_FIXTURE(CallersFixture, "a stopping router serves for the address lifetime, then refuses")
 {
     drain.onStop();
     fleet.view.setSelfLeaving();
@@ -254,7 +254,7 @@
     CHECK(get("/healthz").status == 200);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "what is running when the refusing begins is finished")
+TEST_CASE_FIXTURE(CallersFixture, "requests running when the refusing phase begins are finished")
 {
     drain.onStop();
     drain.onNoticeConfirmed();
@@ -274,7 +274,8 @@
 
 // --- claims ---
 
-TEST_CASE_FIXTURE(CallersFixture, "an order is claimed before it is sent, and its answer kept")
+TEST_CASE_FIXTURE(CallersFixture,
+                  "a non-repeatable call is claimed before dispatch, its answer stored")
 {
     onClaim = [this] { CHECK(engines.requests.empty()); };
     engines.push(answerWith(201, "ordered"));
@@ -290,7 +291,7 @@
     CHECK(engines.requests.at(0).target == "/");
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "an order without a key is refused with the remedy")
+TEST_CASE_FIXTURE(CallersFixture, "a non-repeatable call without a key is refused with the remedy")
 {
     const auto response = order({});
     CHECK(response.status == 400);
@@ -299,7 +300,8 @@
     CHECK(claimsAsked == 0);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "an order is never sent on another verdict than granted")
+TEST_CASE_FIXTURE(CallersFixture,
+                  "a non-repeatable call is dispatched only if its claim is granted")
 {
     struct Row
     {
@@ -345,7 +347,7 @@
 TEST_CASE_FIXTURE(CallersFixture,
                   "paused past the deadline between claim and dispatch: not dispatched")
 {
-    // The claim is granted in time; the process is stopped while the connection is made.
+    // The claim is granted in time, but the process is paused while the connection is being made.
     onClaim = [this] { clock.advance(milliseconds { 4999 }); };
     engines.beforeMayStart = [this] { clock.advance(milliseconds { 1 }); };
     engines.push(answerWith(200, "ordered"));
@@ -358,9 +360,9 @@
     CHECK(ends[0].state == state::ClaimState::NotRun);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "a claim ends as it ran: not_run only when certain")
+TEST_CASE_FIXTURE(CallersFixture, "a claim ends as not_run only if that is certain")
 {
-    engines.push(breakOff());
+    engines.push(breakConnection());
     auto response = order({ { "Idempotency-Key", "a" } });
     CHECK(response.status == 502);
     CHECK(code(response) == "outcome_unknown");
@@ -374,8 +376,7 @@
     CHECK(ends.at(1).state == state::ClaimState::NotRun);
 }
 
-TEST_CASE_FIXTURE(CallersFixture,
-                  "an answer too long to keep is given whole, and known to have run")
+TEST_CASE_FIXTURE(CallersFixture, "an answer too long to store is sent in full and recorded as run")
 {
     const auto longAnswer = std::string(state::maxStoredAnswerBytes + 1, 'x');
     engines.push(answerWith(200, longAnswer));
@@ -386,10 +387,10 @@
     CHECK(ends[0].contentType == notStoredType);
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "a claimed order runs to its end without its caller, and is kept")
+TEST_CASE_FIXTURE(CallersFixture, "a claimed call finishes without its caller and is stored")
 {
     auto script = answerWith(200, "ordered");
-    script.beforeHead = [this] { responder.leave(); };
+    script.beforeHead = [this] { responder.disconnect(); };
     engines.push(script);
     auto request = http::Request {};
     request.method = "POST";
@@ -406,19 +407,19 @@
     CHECK(ends[0].answer == "ordered");
 }
 
-TEST_CASE_FIXTURE(CallersFixture, "a stream with a key keeps its events for the resend")
+TEST_CASE_FIXTURE(CallersFixture, "a stream with a key stores its events for a resend")
 {
-    const auto whole = tokens(0, 3) + "data: [DONE]\n\n";
-    engines.push(streamOf({ whole }));
+    const auto fullStream = tokens(0, 3) + "data: [DONE]\n\n";
+    engines.push(streamOf({ fullStream }));
     post("/v1/completions", R"({"model":"plaques","stream":true})", { { "Idempotency-Key", "k" } });
-    CHECK(responder.body == whole);
+    CHECK(responder.body == fullStream);
     REQUIRE(ends.size() == 1);
-    CHECK(ends[0].answer == whole);
+    CHECK(ends[0].answer == fullStream);
     CHECK(ends[0].contentType == "text/event-stream");
 }
 
 TEST_CASE_FIXTURE(CallersFixture,
-                  "an announcement goes to the controls and is answered with a lease")
+                  "an announcement is sent to the controls and answered with a lease")
 {
     auto request = http::Request {};
     const auto body = std::string {
--- a/router/testing/tst_claims.cpp
+++ b/router/testing/tst_claims.cpp
@@ -1,4 +1,4 @@
-// Claims against a leader that answers as told, in virtual time.
+// Tests claims with a leader that gives configured answers, in virtual time.
 
 #include <doctest/doctest.h>
 
@@ -41,13 +41,15 @@
         options.endAttempts = 3;
         return options;
     }
-    auto take(std::uint64_t hash = 5, const std::string &key = "k") -> std::shared_ptr<ClaimResult>
+    auto acquire(std::uint64_t hash = 5, const std::string &key = "k")
+            -> std::shared_ptr<ClaimResult>
     {
         auto result = std::make_shared<ClaimResult>(ClaimRefused { absl::OkStatus(), false });
         asio::co_spawn(
                 context,
                 [this, result, hash, key]() -> asio::awaitable<void> {
-                    *result = co_await claims->take(IdempotencyKey { key }, hash, seconds { 30 });
+                    *result = co_await claims->acquire(IdempotencyKey { key }, hash,
+                                                       seconds { 30 });
                 },
                 asio::detached);
         poll();
@@ -89,10 +91,10 @@
 };
 
 TEST_CASE_FIXTURE(ClaimsFixture,
-                  "a granted claim may be dispatched within the window from the asking")
+                  "a granted claim permits dispatch within the window from its request")
 {
     const auto asked = clock.now();
-    const auto result = take();
+    const auto result = acquire();
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].claim().router == NodeId { "r1" });
     CHECK(calls[0].claim().incarnation == Incarnation { 9 });
@@ -103,10 +105,10 @@
     CHECK(std::get<ClaimGranted>(*result).dispatchBy == asked + seconds { 5 });
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "a process stopped past the window does not dispatch")
+TEST_CASE_FIXTURE(ClaimsFixture, "a process paused past the window does not dispatch")
 {
-    const auto result = take();
-    clock.advance(seconds { 5 }); // SIGSTOP between the asking and the reply.
+    const auto result = acquire();
+    clock.advance(seconds { 5 }); // As by SIGSTOP between the request and the reply.
     answer(0, verdict(proto::ClaimVerdict::Granted));
     CHECK(kindOf(*result) == ErrorKind::DeadlineExceeded);
     CHECK_FALSE(std::get<ClaimRefused>(*result).mayHaveRun);
@@ -116,7 +118,7 @@
 
 TEST_CASE_FIXTURE(ClaimsFixture, "a claim without a verdict is not dispatched and is freed")
 {
-    const auto result = take();
+    const auto result = acquire();
     answer(0, makeError(ErrorKind::Timeout, "leader"));
     CHECK(kindOf(*result) == ErrorKind::Timeout);
     CHECK_FALSE(std::get<ClaimRefused>(*result).mayHaveRun);
@@ -125,23 +127,23 @@
     CHECK(calls[1].end().key == IdempotencyKey { "k" });
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "a key in doubt stays closed at this router for a time")
+TEST_CASE_FIXTURE(ClaimsFixture, "a key in doubt is refused at this router for a time")
 {
-    take();
+    acquire();
     answer(0, makeError(ErrorKind::Timeout, "leader"));
     answer(1, done());
-    const auto again = take();
+    const auto again = acquire();
     CHECK(kindOf(*again) == ErrorKind::InProgress);
     CHECK(calls.size() == 2);
     clock.advance(std::chrono::minutes { 15 });
     claims->tick();
-    take();
+    acquire();
     CHECK(calls.size() == 3);
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "an end whose first try is in doubt closes the key too")
+TEST_CASE_FIXTURE(ClaimsFixture, "an end whose first attempt is in doubt puts the key in doubt")
 {
-    take();
+    acquire();
     answer(0, verdict(proto::ClaimVerdict::Granted));
     claims->end(IdempotencyKey { "k" }, state::ClaimState::NotRun, 0, {}, {});
     answer(1, makeError(ErrorKind::EndpointFailed, "connection lost"));
@@ -149,37 +151,37 @@
     CHECK(claims->pendingEnds() == 1);
     answer(2, done());
     CHECK(claims->pendingEnds() == 0);
-    // The first NotRun may still reach a leader: a new claim by this router could be freed by it.
-    CHECK(kindOf(*take()) == ErrorKind::InProgress);
+    // The first NotRun may still reach a leader and would free a new claim by this router.
+    CHECK(kindOf(*acquire()) == ErrorKind::InProgress);
     CHECK(calls.size() == 3);
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "an end refused for want of a leader leaves no doubt")
+TEST_CASE_FIXTURE(ClaimsFixture, "an end refused because there is no leader leaves no doubt")
 {
-    take();
+    acquire();
     answer(0, verdict(proto::ClaimVerdict::Granted));
     claims->end(IdempotencyKey { "k" }, state::ClaimState::NotRun, 0, {}, {});
     answer(1, makeError(ErrorKind::NotLeader, "c2"));
     answer(2, done());
-    CHECK(claims->openKeys() == 0);
-    take();
+    CHECK(claims->heldKeys() == 0);
+    acquire();
     CHECK(calls.size() == 4);
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "of two requests with one key at this router one is at work")
+TEST_CASE_FIXTURE(ClaimsFixture, "of two requests with one key at this router, one is processed")
 {
-    const auto first = take();
-    const auto second = take();
+    const auto first = acquire();
+    const auto second = acquire();
     CHECK(calls.size() == 1);
     CHECK(kindOf(*second) == ErrorKind::InProgress);
     CHECK(std::get<ClaimRefused>(*second).mayHaveRun);
     answer(0, verdict(proto::ClaimVerdict::Granted));
     CHECK(std::holds_alternative<ClaimGranted>(*first));
-    CHECK(kindOf(*take()) == ErrorKind::InProgress);
+    CHECK(kindOf(*acquire()) == ErrorKind::InProgress);
     claims->end(IdempotencyKey { "k" }, state::ClaimState::Done, 200, "text/plain", "ordered");
     answer(1, done());
     CHECK(calls[1].end().answer == "ordered");
-    take();
+    acquire();
     CHECK(calls.size() == 3);
 }
 
@@ -195,31 +197,31 @@
          { Row { proto::ClaimVerdict::InProgress, ErrorKind::InProgress, true },
            Row { proto::ClaimVerdict::Unknown, ErrorKind::OutcomeUnknown, true },
            Row { proto::ClaimVerdict::KeyReused, ErrorKind::KeyReused, false } }) {
-        const auto result = take();
+        const auto result = acquire();
         answer(calls.size() - 1, verdict(row.verdict));
         CHECK(kindOf(*result) == row.kind);
         CHECK(std::get<ClaimRefused>(*result).mayHaveRun == row.mayHaveRun);
-        CHECK(claims->openKeys() == 0);
+        CHECK(claims->heldKeys() == 0);
     }
 }
 
 TEST_CASE_FIXTURE(ClaimsFixture,
-                  "a stored answer comes back whole, one too long to keep as unknown")
+                  "a stored answer is returned in full, one too long to store as unknown")
 {
     auto reply = proto::ClaimReply { proto::ClaimVerdict::Stored, 201, "text/plain", "ordered" };
-    const auto result = take();
+    const auto result = acquire();
     answer(0, proto::Payload { reply });
     REQUIRE(std::holds_alternative<ClaimStored>(*result));
     CHECK(std::get<ClaimStored>(*result).status == 201);
     CHECK(std::get<ClaimStored>(*result).answer == "ordered");
     reply.contentType = notStoredType;
     reply.answer.clear();
-    const auto tooLong = take();
+    const auto tooLong = acquire();
     answer(1, proto::Payload { reply });
     CHECK(kindOf(*tooLong) == ErrorKind::OutcomeUnknown);
 }
 
-TEST_CASE_FIXTURE(ClaimsFixture, "keys at work are bounded")
+TEST_CASE_FIXTURE(ClaimsFixture, "the number of keys in progress is bounded")
 {
     auto options = claimOptions();
     options.maxKeys = 2;
@@ -228,9 +230,9 @@
             [this](proto::Payload payload, Duration, std::function<void(Reply)> done) {
                 calls.push_back({ std::move(payload), std::move(done) });
             });
-    take(1, "a");
-    take(1, "b");
-    const auto third = take(1, "c");
+    acquire(1, "a");
+    acquire(1, "b");
+    const auto third = acquire(1, "c");
     CHECK(kindOf(*third) == ErrorKind::Overloaded);
     CHECK_FALSE(std::get<ClaimRefused>(*third).mayHaveRun);
 }
--- a/router/testing/tst_coldwait.cpp
+++ b/router/testing/tst_coldwait.cpp
@@ -6,7 +6,7 @@
 using namespace figrack;
 using namespace figrack::router;
 
-TEST_CASE("a cold wait is split at the order and at the end of its load")
+TEST_CASE("a cold wait is split at the load order and at the end of the load")
 {
     const auto parts = splitColdWait({ 1000, 50000, 50040, 50900 });
     CHECK(parts.decision == 40);
@@ -14,7 +14,7 @@
     CHECK(parts.queue == 100);
 }
 
-TEST_CASE("a request that came during the load waited for no decision")
+TEST_CASE("a request that arrives during the load has no decision time")
 {
     const auto parts = splitColdWait({ 300, 50500, 50040, 50790 });
     CHECK(parts.decision == 0);
@@ -22,12 +22,12 @@
     CHECK(parts.queue == 10);
 }
 
-TEST_CASE("without a known order all of it is queue")
+TEST_CASE("without a known order, all of the wait is queue time")
 {
     CHECK(splitColdWait({ 300, 50500, 0, 0 }).queue == 300);
 }
 
-TEST_CASE("whatever the clocks say, the parts add up to the wait")
+TEST_CASE("the parts add up to the wait for any clock values")
 {
     auto random = Random { 11 };
     for (auto round = 0; round < 10000; ++round) {
--- a/router/testing/tst_controllink.cpp
+++ b/router/testing/tst_controllink.cpp
@@ -1,5 +1,5 @@
-// The link to the controls over loopback sockets, with stand-ins for the controls. Tests wait
-// for events; none asserts that something was fast.
+// Tests the link to the controls over loopback sockets, with fake controls. The
+// tests wait for events; none asserts a short duration.
 
 #include <doctest/doctest.h>
 
@@ -103,7 +103,7 @@
     CHECK(c1.joins == 1);
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "it asks for no lease before it has caught up with its join")
+TEST_CASE_FIXTURE(LinkFixture, "a router requests no lease before it has caught up with its join")
 {
     c1.joinIndexAhead = 1;
     start({ &c1 });
@@ -114,7 +114,7 @@
     CHECK(eventually([this] { return link->isCurrent(); }));
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "without renewals it stops being current, with them it is again")
+TEST_CASE_FIXTURE(LinkFixture, "a router is current only while its lease is renewed")
 {
     start({ &c1 });
     REQUIRE(eventually([this] { return link->isCurrent(); }));
@@ -124,7 +124,8 @@
     CHECK(eventually([this] { return link->isCurrent(); }));
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "a minority of the controls makes nobody current")
+TEST_CASE_FIXTURE(LinkFixture,
+                  "renewals by a minority of the controls do not make a router current")
 {
     c1.voters = 3;
     start({ &c1 });
@@ -142,7 +143,8 @@
     CHECK(eventually([this] { return view.isRegistered(Incarnation { 7 }); }));
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "calls find the leader by the name that others give, and follow it")
+TEST_CASE_FIXTURE(LinkFixture,
+                  "calls find the leader by the name that others return, and follow it")
 {
     c1.leads = false;
     c1.leaderHint = "c2";
@@ -156,7 +158,7 @@
     CHECK(c1.claims == 1);
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "a call that finds no leader ends as NotLeader: it was never sent")
+TEST_CASE_FIXTURE(LinkFixture, "a call that finds no leader ends as NotLeader and is never sent")
 {
     c1.leads = false;
     start({ &c1 });
@@ -165,13 +167,13 @@
     CHECK(c1.claims == 0);
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "the feed comes from the nearest control and moves when that dies")
+TEST_CASE_FIXTURE(LinkFixture, "the feed comes from the nearest control and moves if that fails")
 {
     c1.commit(putModel("plaques", 0));
     c2.copyLog(c1);
     c2.leads = false;
     start({ &c1, &c2 });
-    // Current: the join is in c1's log, and not still on its way to whoever leads.
+    // Being current implies that the join is in c1's log and not still in transit to the leader.
     REQUIRE(eventually([this] { return link->isCurrent() && c1.subscribers() == 1; }));
     c1.stop();
     REQUIRE(eventually([this] { return c2.subscribers() == 1; }));
@@ -182,11 +184,11 @@
     CHECK(view.revision() == Revision { 2 });
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "a feed that lags behind the renewals is left for another")
+TEST_CASE_FIXTURE(LinkFixture, "a feed that lags behind the renewals is replaced by another")
 {
     start({ &c1, &c2 });
     REQUIRE(eventually([this] { return link->isCurrent(); }));
-    // c2 has what c1 does not send, and the voters ask for it.
+    // c2 has entries that c1 does not send, and the voters require them for a renewal.
     c2.copyLog(c1);
     c2.commit(putModel("plaques", 0));
     c1.required = 1;
@@ -195,16 +197,17 @@
     CHECK(c2.subscribers() == 1);
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "what an older subscription pushes before the new answer is dropped")
+TEST_CASE_FIXTURE(LinkFixture, "batches of an older subscription are dropped until the new reply")
 {
-    // c1 serves, falls silent and is left; back at c1, its old pushes come before its answer.
+    // c1 serves the feed, stops answering and is replaced. When the link returns to c1, pushes of
+    // the old subscription arrive before the reply to the new one.
     start({ &c1, &c2 });
     REQUIRE(eventually([this] { return link->isCurrent() && c1.subscribers() == 1; }));
     c1.answersFeed = false;
     c1.required = 1;
     c2.required = 1;
     c2.answersFeed = false;
-    // Neither answers now: the link goes back and forth, asking.
+    // Neither control answers now, so the link alternates between them.
     std::this_thread::sleep_for(milliseconds { 700 });
     auto gap = proto::FeedBatch {};
     gap.entries.push_back({ LogIndex { 9 }, state::encodeCommand(putModel("late", 0)) });
@@ -217,8 +220,7 @@
     CHECK(view.appliedIndex() < LogIndex { 9 });
 }
 
-TEST_CASE_FIXTURE(LinkFixture,
-                  "a wanted cold model is reported at once, and what is queued goes on")
+TEST_CASE_FIXTURE(LinkFixture, "demand for a cold model is reported at once, then at intervals")
 {
     start({ &c1 });
     REQUIRE(eventually([this] { return link->isCurrent(); }));
@@ -226,7 +228,7 @@
     const auto before = c1.reports().size();
     wanted = true;
     for (auto i = 0; i < 100; ++i)
-        link->wantDemandNow();
+        link->requestDemandReport();
     CHECK(eventually([this, before] { return c1.reports().size() >= before + 3; }));
     const auto reports = c1.reports();
     CHECK(reports.back().rows.size() == 1);
@@ -236,7 +238,7 @@
     CHECK(reports.size() < before + 100);
 }
 
-TEST_CASE_FIXTURE(LinkFixture, "load digests come in, reports go out")
+TEST_CASE_FIXTURE(LinkFixture, "load digests are received and reports are sent")
 {
     start({ &c1 });
     REQUIRE(eventually([this] { return c1.subscribers() == 1; }));
--- a/router/testing/tst_dispatch.cpp
+++ b/router/testing/tst_dispatch.cpp
@@ -1,5 +1,5 @@
-// The dispatcher against scripted engines: what runs again, what is resumed, what is given up,
-// and what it says of it.
+// Tests the dispatcher with scripted engines: which requests are dispatched again,
+// resumed or failed, and what the outcome reports about them.
 
 #include <doctest/doctest.h>
 
@@ -56,7 +56,7 @@
         clock.advance(milliseconds { 20 });
         scheduler.tick();
     }
-    /// Runs the work to its end.
+    /// Runs the work until it has ended.
     auto run() -> Outcome
     {
         auto outcome = Outcome {};
@@ -77,7 +77,7 @@
     }
     auto isCurrent() const -> bool
     {
-        return current && (!lapsesInStream || responder.body.empty());
+        return current && (!leaseEndsInStream || responder.body.empty());
     }
     auto asService() -> void
     {
@@ -90,7 +90,7 @@
     Fleet fleet { clock };
     asio::io_context context;
     bool current = true;
-    bool lapsesInStream = false; ///< The lease ends once the caller has got something.
+    bool leaseEndsInStream = false; ///< The lease ends once the caller has received data.
     Scheduler scheduler { SchedulerOptions { {}, {}, 500, 7 }, clock, fleet.view,
                           SchedulerHooks { [this] { return isCurrent(); }, [] {} } };
     RetryBudget budget { retryOptions(), 3 };
@@ -109,7 +109,7 @@
     Work work;
 };
 
-TEST_CASE_FIXTURE(DispatchFixture, "a whole answer is handed back as it came")
+TEST_CASE_FIXTURE(DispatchFixture, "a complete answer is returned unchanged")
 {
     engines.push(answerWith(200, R"({"text":"here lies"})"));
     const auto outcome = run();
@@ -124,37 +124,37 @@
     CHECK(http::findHeader(sent.headers, "X-Figrack-Resume-From").empty());
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "a stream passes byte for byte, however it is cut into chunks")
+TEST_CASE_FIXTURE(DispatchFixture, "a stream is forwarded byte for byte for any split into chunks")
 {
     work.stream = true;
-    const auto whole = tokens(0, 5) + ": note\n\n" + tokens(5, 9) + "data: [DONE]\n\n";
-    for (auto size = std::size_t { 1 }; size < whole.size(); size += 3) {
+    const auto fullStream = tokens(0, 5) + ": note\n\n" + tokens(5, 9) + "data: [DONE]\n\n";
+    for (auto size = std::size_t { 1 }; size < fullStream.size(); size += 3) {
         auto chunks = std::vector<std::string> {};
-        for (auto at = std::size_t { 0 }; at < whole.size(); at += size)
-            chunks.push_back(whole.substr(at, size));
+        for (auto at = std::size_t { 0 }; at < fullStream.size(); at += size)
+            chunks.push_back(fullStream.substr(at, size));
         engines.push(streamOf(std::move(chunks)));
         responder = FakeResponder {};
         const auto outcome = run();
         CHECK(outcome.status.ok());
-        CHECK(responder.body == whole);
+        CHECK(responder.body == fullStream);
         CHECK(responder.finished);
     }
 }
 
-// --- the truth of not_run ---
+// --- reporting of not_run ---
 
-struct TruthRow
+struct RanReportRow
 {
     const char *name;
     bool service;
     std::vector<Script> scripts;
-    int ran; ///< Dispatches of which a byte left.
+    int ran; ///< Dispatches of which a byte was sent.
     Ran said;
     bool answered;
     ErrorKind kind;
 };
 
-TEST_CASE_FIXTURE(DispatchFixture, "not_run is said exactly when nothing ran")
+TEST_CASE_FIXTURE(DispatchFixture, "not_run is reported exactly if nothing ran")
 {
     const auto notTaken = [] {
         auto script = answerWith(503, "{}");
@@ -166,7 +166,7 @@
         script.cut = true;
         return script;
     };
-    const auto rows = std::vector<TruthRow> {
+    const auto rows = std::vector<RanReportRow> {
         { "engine: refused everywhere",
           false,
           { refuse(), refuse(), refuse() },
@@ -190,14 +190,14 @@
           ErrorKind::Ok },
         { "engine: broken without a head, repeated",
           false,
-          { breakOff(), answerWith(200, "a") },
+          { breakConnection(), answerWith(200, "a") },
           2,
           Ran::Unknown,
           true,
           ErrorKind::Ok },
         { "engine: broken, then refused everywhere",
           false,
-          { breakOff(), refuse(), refuse() },
+          { breakConnection(), refuse(), refuse() },
           1,
           Ran::Unknown,
           false,
@@ -239,7 +239,7 @@
           ErrorKind::Ok },
         { "service: broken without a head",
           true,
-          { breakOff(), answerWith(200, "a") },
+          { breakConnection(), answerWith(200, "a") },
           1,
           Ran::Unknown,
           false,
@@ -274,7 +274,7 @@
         CHECK(ranName(outcome.ran) == ranName(row.said));
         CHECK((outcome.end == report::RequestEnd::Answered) == row.answered);
         CHECK(errorName(errorKind(outcome.status)) == errorName(row.kind));
-        // Endpoints put aside by the failures of one row are back for the next.
+        // Endpoints avoided after the failures of one row are available again for the next.
         for (auto i = 0; i < 40; ++i)
             budget.onRequest();
         clock.advance(std::chrono::minutes { 3 });
@@ -282,7 +282,7 @@
 }
 
 TEST_CASE_FIXTURE(DispatchFixture,
-                  "a dead endpoint does not use up the attempts before it is known dead")
+                  "a failed endpoint does not use up the attempts before it is detected")
 {
     fleet.drainEndpoint("e2");
     work.stream = true;
@@ -295,7 +295,7 @@
     CHECK(responder.body == tokens(0, 3) + "data: [DONE]\n\n");
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "what may not be repeated goes out on a fresh connection")
+TEST_CASE_FIXTURE(DispatchFixture, "a non-repeatable request is sent on a new connection")
 {
     asService();
     engines.push(answerWith(200, "a"));
@@ -333,10 +333,10 @@
 // --- resuming ---
 
 TEST_CASE_FIXTURE(DispatchFixture,
-                  "a stream cut by an engine's death goes on elsewhere, no token twice")
+                  "a stream cut by an engine failure resumes elsewhere, no token twice")
 {
     work.stream = true;
-    // The cut falls inside token 4, which the caller must not see half.
+    // The stream is cut inside token 4; the caller must not receive a part of it.
     engines.push(cutAfter({ tokens(0, 3), tokens(3, 4) + "data: t4" }));
     engines.push(streamOf({ tokens(4, 6), tokens(6, 7) + "data: [DONE]\n\n" }));
     const auto outcome = run();
@@ -349,7 +349,7 @@
     CHECK(responder.finished);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "a stream that ends without [DONE] was cut")
+TEST_CASE_FIXTURE(DispatchFixture, "a stream that ends without [DONE] is treated as cut")
 {
     work.stream = true;
     engines.push(streamOf({ tokens(0, 2) }));
@@ -360,7 +360,7 @@
     CHECK(responder.body == tokens(0, 3) + "data: [DONE]\n\n");
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "comments and keep-alives are no tokens")
+TEST_CASE_FIXTURE(DispatchFixture, "comments and keep-alives are not counted as tokens")
 {
     work.stream = true;
     engines.push(cutAfter({ ": hello\n\n" + tokens(0, 1) + ": still here\n\nid: 4\n\n" }));
@@ -369,7 +369,7 @@
     CHECK(http::findHeader(engines.requests.at(1).headers, "X-Figrack-Resume-From") == "1");
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "a cut stream that may not be repeated ends in an error event")
+TEST_CASE_FIXTURE(DispatchFixture, "a cut stream that is not repeatable ends in an error event")
 {
     work.stream = true;
     work.repeatable = false;
@@ -385,7 +385,7 @@
     CHECK(responder.finished);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "a stream whose resumes all fail ends in an error event")
+TEST_CASE_FIXTURE(DispatchFixture, "a stream of which all resumes fail ends in an error event")
 {
     work.stream = true;
     engines.push(cutAfter({ tokens(0, 1) }));
@@ -400,10 +400,10 @@
     CHECK(responder.body.find("[DONE]") == std::string::npos);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "a cut stream that finds no new place says why and ends")
+TEST_CASE_FIXTURE(DispatchFixture, "a cut stream that gets no new replica ends with the reason")
 {
     work.stream = true;
-    lapsesInStream = true;
+    leaseEndsInStream = true;
     engines.push(cutAfter({ tokens(0, 3) }));
     const auto outcome = run();
     CHECK(engines.requests.size() == 1);
@@ -415,7 +415,7 @@
 }
 
 TEST_CASE_FIXTURE(DispatchFixture,
-                  "an engine's error event is not passed on while there is a way on")
+                  "an engine's error event is not forwarded while a retry is possible")
 {
     work.stream = true;
     engines.push(streamOf({ tokens(0, 2) + "event: error\ndata: {}\n\n" }));
@@ -424,7 +424,7 @@
     CHECK(responder.body == tokens(0, 3) + "data: [DONE]\n\n");
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "what an engine says after [DONE] reaches nobody")
+TEST_CASE_FIXTURE(DispatchFixture, "data that an engine sends after [DONE] is dropped")
 {
     work.stream = true;
     engines.push(streamOf({ tokens(0, 1) + "data: [DONE]\n\n" + tokens(1, 4), tokens(4, 5) }));
@@ -433,34 +433,34 @@
     CHECK(responder.body == tokens(0, 1) + "data: [DONE]\n\n");
 }
 
-// --- the caller goes ---
+// --- disconnecting callers ---
 
-TEST_CASE_FIXTURE(DispatchFixture, "a caller that goes while it waits leaves the queue")
+TEST_CASE_FIXTURE(DispatchFixture,
+                  "a request whose caller disconnects while it waits leaves the queue")
 {
     fleet.addModel("letters");
     work.target.model = ModelId { "letters" };
-    asio::post(context, [this] { asio::post(context, [this] { responder.leave(); }); });
+    asio::post(context, [this] { asio::post(context, [this] { responder.disconnect(); }); });
     const auto outcome = run();
     CHECK(outcome.end == report::RequestEnd::Cancelled);
     CHECK(outcome.ran == Ran::NotRun);
     CHECK(engines.requests.empty());
 }
 
-TEST_CASE_FIXTURE(DispatchFixture,
-                  "a caller that goes while it streams has the engine's stream aborted")
+TEST_CASE_FIXTURE(DispatchFixture, "the engine's stream is aborted if the caller disconnects")
 {
     work.stream = true;
     auto script = streamOf({ tokens(0, 1) });
     script.hang = true;
     engines.push(script);
-    responder.onWrite = [this] { asio::post(context, [this] { responder.leave(); }); };
+    responder.onWrite = [this] { asio::post(context, [this] { responder.disconnect(); }); };
     const auto outcome = run();
     CHECK(outcome.end == report::RequestEnd::Cancelled);
     CHECK(*engines.aborts == 1);
     CHECK(engines.requests.size() == 1);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "claimed work goes on without its caller, for the resend")
+TEST_CASE_FIXTURE(DispatchFixture, "claimed work continues without its caller, for a resend")
 {
     auto kept = CallerState { true };
     asService();
@@ -476,14 +476,14 @@
             },
             asio::detached);
     REQUIRE(runUntil(
-            context, [&outcome] { return outcome.whole; }, [this] { passTime(); }));
+            context, [&outcome] { return outcome.isComplete; }, [this] { passTime(); }));
     CHECK(outcome.answer == "ordered");
     CHECK(*engines.aborts == 0);
 }
 
-// --- deadlines, leaving endpoints ---
+// --- deadlines, draining endpoints ---
 
-TEST_CASE_FIXTURE(DispatchFixture, "a dispatch held back at its last moment did not run")
+TEST_CASE_FIXTURE(DispatchFixture, "a dispatch held back just before its first byte did not run")
 {
     asService();
     auto mayStart = true;
@@ -497,11 +497,12 @@
     CHECK(errorKind(outcome.status) == ErrorKind::DeadlineExceeded);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "an endpoint that begins to drain after the choice gets nothing")
+TEST_CASE_FIXTURE(DispatchFixture,
+                  "an endpoint that starts to drain after it was chosen gets no request")
 {
     engines.push(answerWith(200, "a"));
     engines.push(answerWith(200, "b"));
-    // The announcement comes while the connection is made.
+    // The announcement arrives while the connection is being made.
     engines.beforeMayStart = [this] {
         if (engines.requests.size() > 1)
             return;
@@ -515,17 +516,17 @@
     CHECK(engines.requests.at(1).address != engines.requests.at(0).address);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "an answer past the bound is refused, not cut")
+TEST_CASE_FIXTURE(DispatchFixture, "an answer above the size limit is refused, not truncated")
 {
     work.repeatable = false;
     engines.push(answerWith(200, std::string(5000, 'x')));
     const auto outcome = run();
-    CHECK_FALSE(outcome.whole);
+    CHECK_FALSE(outcome.isComplete);
     CHECK(outcome.answer.empty());
     CHECK(outcome.ran == Ran::Unknown);
 }
 
-TEST_CASE_FIXTURE(DispatchFixture, "requests with one id each get their own answer, in any order")
+TEST_CASE_FIXTURE(DispatchFixture, "requests that share an id get their own answers, in any order")
 {
     constexpr auto count = std::size_t { 6 };
     auto works = std::vector<Work>(count, work);
@@ -541,7 +542,7 @@
         works[i].stream = true;
         works[i].body = bodies[i];
         auto script = streamOf({ answers[i].substr(0, 12), answers[i].substr(12) });
-        script.turns = static_cast<int>(count - i) * 40; // The first answer comes last.
+        script.yields = static_cast<int>(count - i) * 40; // The first request is answered last.
         engines.pushFor(bodies[i], script);
     }
     for (auto i = std::size_t { 0 }; i < count; ++i) {
--- a/router/testing/tst_drain.cpp
+++ b/router/testing/tst_drain.cpp
@@ -24,7 +24,7 @@
     CHECK_FALSE(drain.onStop());
 }
 
-TEST_CASE_FIXTURE(DrainFixture, "it takes work for the address lifetime after the notice stands")
+TEST_CASE_FIXTURE(DrainFixture, "a router accepts work for the address lifetime after the notice")
 {
     drain.onStop();
     clock.advance(seconds { 2 });
@@ -35,7 +35,7 @@
     CHECK(drain.tick(1) == DrainPhase::Refusing);
 }
 
-TEST_CASE_FIXTURE(DrainFixture, "without a control the lifetime runs from the limit of the notice")
+TEST_CASE_FIXTURE(DrainFixture, "without a control the lifetime starts at the notice timeout")
 {
     drain.onStop();
     clock.advance(milliseconds { 16499 });
@@ -44,7 +44,7 @@
     CHECK(drain.tick(1) == DrainPhase::Refusing);
 }
 
-TEST_CASE_FIXTURE(DrainFixture, "a second confirmation does not move the time")
+TEST_CASE_FIXTURE(DrainFixture, "a second confirmation does not change the end of the lifetime")
 {
     drain.onStop();
     drain.onNoticeConfirmed();
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE_FIXTURE(DrainFixture,
-                  "it stops only once nothing is in progress, however long that takes")
+                  "a router stops only once nothing is in progress, however long it takes")
 {
     drain.onStop();
     drain.onNoticeConfirmed();
--- a/router/testing/tst_parse.cpp
+++ b/router/testing/tst_parse.cpp
@@ -39,7 +39,7 @@
     Fleet fleet { clock };
 };
 
-TEST_CASE_FIXTURE(ParseFixture, "class by header, by field, by default")
+TEST_CASE_FIXTURE(ParseFixture, "the class comes from the header, the field or the default")
 {
     auto request = completion(R"({"model":"plaques","prompt":"x"})");
     CHECK(parseWork(request, fleet.view)->classId == ClassId { "draft" });
@@ -56,7 +56,7 @@
     CHECK(parseWork(request, fleet.view)->caller == "mason");
 }
 
-TEST_CASE_FIXTURE(ParseFixture, "what the configuration does not know is a typed refusal")
+TEST_CASE_FIXTURE(ParseFixture, "unknown models, services and classes are typed errors")
 {
     CHECK(kind(completion(R"({"model":"no"})")) == ErrorKind::UnknownModel);
     CHECK(kind(completion(R"({"model":"plaques","class":"no"})")) == ErrorKind::UnknownClass);
@@ -79,7 +79,7 @@
     CHECK(kind(request) == ErrorKind::BadRequest);
 }
 
-TEST_CASE_FIXTURE(ParseFixture, "a call that may not be repeated needs a key, and says so")
+TEST_CASE_FIXTURE(ParseFixture, "a call that is not repeatable needs a key, and the error says so")
 {
     auto request = completion("body");
     request.path = "/v1/services/orders";
@@ -101,7 +101,7 @@
     CHECK_FALSE(parseWork(chat, fleet.view)->repeatable);
 }
 
-TEST_CASE("a request id is echoed when it can be, else made")
+TEST_CASE("a valid request id is echoed, otherwise one is generated")
 {
     auto request = http::Request {};
     CHECK(requestIdOf(request, "made") == RequestId { "made" });
@@ -114,7 +114,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(ParseFixture, "equal prompts share their prefix, in both calls' shapes")
+TEST_CASE_FIXTURE(ParseFixture, "equal prompts have equal prefix hashes in both kinds of call")
 {
     const auto shared = std::string(200, 'p');
     const auto hashes = [this](const std::string &prompt) {
@@ -135,7 +135,7 @@
     CHECK(parseWork(chat, fleet.view)->prefix.size() == 3);
 }
 
-TEST_CASE_FIXTURE(ParseFixture, "random bytes are refused or read, never worse")
+TEST_CASE_FIXTURE(ParseFixture, "random bytes are either parsed or refused")
 {
     auto random = Random { 11 };
     const auto seedText = std::string {
--- a/router/testing/tst_router.cpp
+++ b/router/testing/tst_router.cpp
@@ -1,4 +1,5 @@
-// The whole router over loopback sockets: HTTP in, a stand-in control and engine behind.
+// Tests the complete router over loopback sockets, through its HTTP interface, with
+// a fake control and a fake engine.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +24,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// An engine that streams as many tokens as it is told, one by one.
+/// An engine that streams a configurable number of tokens, one by one.
 class Engine
 {
 public:
@@ -41,7 +42,7 @@
     std::atomic<int> requests = 0;
     std::atomic<int> gone = 0;
     std::atomic<int> tokens = 3;
-    std::atomic<bool> holds = false; ///< Stops after the first token until released.
+    std::atomic<bool> paused = false; ///< Pauses after the first token until set to false.
 
 private:
     auto handle(const http::Request &request, http::Responder &responder) -> asio::awaitable<void>
@@ -60,7 +61,7 @@
             auto event = "data: t" + std::to_string(i) + "\n\n";
             if (!(co_await responder.write(std::move(event))).ok())
                 co_return;
-            while (holds && !responder.peerGone()) {
+            while (paused && !responder.peerGone()) {
                 timer.expires_after(milliseconds { 2 });
                 co_await timer.async_wait(asio::use_awaitable);
             }
@@ -83,8 +84,8 @@
         options.callerAddress = Address { "127.0.0.1", 1 };
         options.controls = { control.named() };
         options.addressLifetime = milliseconds { 100 };
-        options.drainSpread = milliseconds { 100 };
-        // Long enough not to lapse on a machine that stalls for seconds.
+        options.drainPropagationTime = milliseconds { 100 };
+        // Long enough not to expire on a machine that stalls for seconds.
         options.viewLease.length = seconds { 8 };
         options.viewLease.renewEvery = milliseconds { 50 };
         putClass();
@@ -146,7 +147,8 @@
         awaitApplied(control.commit(
                 state::OrderOutcome { OrderId { index.value() }, state::OrderResult::Loaded, 0 }));
     }
-    /// A request that overtakes the feed finds no endpoint for its model and is refused.
+    /// Waits until the router has applied the index. A request sent earlier could find no endpoint
+    /// for its model and be refused.
     auto awaitApplied(LogIndex index) -> void
     {
         const auto line = R"(what="applied_index"} )" + std::to_string(index.value()) + "\n";
@@ -197,7 +199,7 @@
 };
 
 TEST_CASE_FIXTURE(RouterFixture,
-                  "a burst to a cold model: demand, load, every caller its whole answer")
+                  "a burst to a cold model: demand, load, a complete answer for each")
 {
     registerEngine();
     auto answers = std::vector<std::future<Result>> {};
@@ -213,7 +215,7 @@
     for (auto &answer : answers)
         CHECK(bodyOf(std::move(answer)) == wholeAnswer(3));
     CHECK(engine.requests == 12);
-    // The record is written once the answer is out.
+    // The record is written after the answer has been sent.
     CHECK(eventually([this] {
         const auto page = bodyOf(send("GET", "/metrics"));
         return page.find(R"(figrack_router_requests_total{class="draft",end="answered"} 12)")
@@ -233,11 +235,11 @@
 }
 
 TEST_CASE_FIXTURE(RouterFixture,
-                  "a caller that closes its connection has the engine's stream cancelled")
+                  "the engine's stream is cancelled if the caller closes its connection")
 {
     registerEngine();
     load();
-    engine.holds = true;
+    engine.paused = true;
     {
         auto other = http::Client { threads.context, http::ClientOptions {}, systemClock() };
         auto request = http::ClientRequest {};
@@ -255,11 +257,11 @@
     CHECK(eventually([this] { return engine.gone == 1; }));
 }
 
-TEST_CASE_FIXTURE(RouterFixture, "a planned stop: off the list, serving, refusing, finished, gone")
+TEST_CASE_FIXTURE(RouterFixture, "a planned stop: unlisted, serving, refusing, finished, stopped")
 {
     registerEngine();
     load();
-    engine.holds = true;
+    engine.paused = true;
     auto running = complete();
     REQUIRE(eventually([this] { return engine.requests == 1; }));
     router->requestStop();
@@ -271,7 +273,7 @@
     CHECK(refused.find(R"("code":"draining")") != std::string::npos);
     CHECK(refused.find(R"("ran":"not_run")") != std::string::npos);
     CHECK_FALSE(stopped);
-    engine.holds = false;
+    engine.paused = false;
     CHECK(bodyOf(std::move(running)) == wholeAnswer(3));
     CHECK(eventually([this] { return stopped.load(); }));
     REQUIRE(control.notices().size() == 2);
@@ -279,11 +281,11 @@
 }
 
 TEST_CASE_FIXTURE(RouterFixture,
-                  "cut off from the controls it refuses new work and finishes what runs")
+                  "without controls a router refuses new work and finishes running work")
 {
     registerEngine();
     load();
-    engine.holds = true;
+    engine.paused = true;
     auto running = complete();
     REQUIRE(eventually([this] { return engine.requests == 1; }));
     control.grants = false;
@@ -291,7 +293,7 @@
     const auto refused = bodyOf(complete());
     CHECK(refused.find(R"("code":"not_current")") != std::string::npos);
     CHECK(refused.find(R"("ran":"not_run")") != std::string::npos);
-    engine.holds = false;
+    engine.paused = false;
     CHECK(bodyOf(std::move(running)) == wholeAnswer(3));
     CHECK(engine.requests == 1);
 }
--- a/router/testing/tst_scheduler.cpp
+++ b/router/testing/tst_scheduler.cpp
@@ -44,7 +44,7 @@
     auto submit(Answer &answer, const std::string &classId = "draft",
                 const std::string &model = "plaques") -> Ticket
     {
-        auto waiting = Waiting {};
+        auto waiting = SchedulingRequest {};
         waiting.target.model = ModelId { model };
         waiting.classId = ClassId { classId };
         waiting.caller = "caller";
@@ -64,28 +64,28 @@
     ManualClock clock;
     Fleet fleet { clock };
     bool current = true;
-    int wantedCold = 0;
+    int coldDemand = 0;
     Scheduler scheduler { SchedulerOptions { {}, {}, 500, 7 }, clock, fleet.view,
-                          SchedulerHooks { [this] { return current; }, [this] { ++wantedCold; } } };
+                          SchedulerHooks { [this] { return current; }, [this] { ++coldDemand; } } };
 };
 
-TEST_CASE_FIXTURE(SchedulerFixture, "a warm request is granted at once")
+TEST_CASE_FIXTURE(SchedulerFixture, "a warm request is granted immediately")
 {
     fleet.load("plaques", "e1");
     auto answer = Answer {};
     submit(answer);
     REQUIRE(answer.granted());
     CHECK(std::get<Granted>(*answer.placement).replica.address.port == 9001);
-    CHECK(wantedCold == 0);
+    CHECK(coldDemand == 0);
     CHECK(scheduler.running() == 1);
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "a cold request is demand at once and granted when the load ends")
+                  "a cold request counts as demand and is granted when the load ends")
 {
     auto answer = Answer {};
     submit(answer);
-    CHECK(wantedCold == 1);
+    CHECK(coldDemand == 1);
     const auto rows = scheduler.takeDemand();
     REQUIRE(rows.size() == 1);
     CHECK(rows[0].queued == 1);
@@ -103,7 +103,7 @@
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "a request whose time runs out while it waits is refused at once")
+                  "a request whose time runs out while it waits is refused immediately")
 {
     auto answer = Answer {};
     submit(answer, "urgent");
@@ -120,7 +120,8 @@
     CHECK(scheduler.waiting() == 0);
 }
 
-TEST_CASE_FIXTURE(SchedulerFixture, "the most urgent deadline goes first, whatever came first")
+TEST_CASE_FIXTURE(SchedulerFixture,
+                  "the earliest deadline is served first, regardless of arrival order")
 {
     fleet.load("plaques", "e1");
     auto running = std::array<Answer, 2> {};
@@ -149,16 +150,16 @@
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "a request refused while cold counts as demand until it is back")
+                  "a request refused while cold counts as demand until it returns")
 {
     (void)fleet.startLoad("plaques", "e1", 5000);
     auto answer = Answer {};
     submit(answer, "urgent");
     CHECK(answer.refusal() == ErrorKind::TargetUnreachable);
-    const auto comesBack = answer.retryAfter();
-    CHECK(comesBack >= 4000);
+    const auto willRetry = answer.retryAfter();
+    CHECK(willRetry >= 4000);
     CHECK(scheduler.takeDemand().at(0).queued == 1);
-    clock.advance(milliseconds { comesBack });
+    clock.advance(milliseconds { willRetry });
     CHECK(scheduler.takeDemand().at(0).queued == 1);
     clock.advance(milliseconds { 501 });
     CHECK(scheduler.takeDemand().empty());
@@ -180,7 +181,7 @@
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "a drained endpoint gets no new work, at once when it says so here")
+                  "a draining endpoint gets no new work once it has announced it here")
 {
     fleet.load("plaques", "e1");
     fleet.view.setAnnouncedDraining(EndpointId { "e1" }, Incarnation { 1 }, true);
@@ -196,7 +197,7 @@
     CHECK(second.refusal() == ErrorKind::NoCapacity);
 }
 
-TEST_CASE_FIXTURE(SchedulerFixture, "a request that failed on a replica goes to another one")
+TEST_CASE_FIXTURE(SchedulerFixture, "a request that failed on a replica is sent to another one")
 {
     fleet.addEngine("e2", 9002);
     fleet.load("plaques", "e1");
@@ -216,7 +217,7 @@
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "a request waits for its only replica to be tried again, others go on")
+                  "a request waits to retry its only replica without blocking others")
 {
     fleet.load("plaques", "e1");
     auto answer = Answer {};
@@ -251,7 +252,7 @@
 }
 
 TEST_CASE_FIXTURE(SchedulerFixture,
-                  "random use: every request is answered exactly once, slots hold")
+                  "random use: each request is answered once, slots are never exceeded")
 {
     fleet.addModel("letters", 2);
     fleet.addEngine("e2", 9002);
--- a/router/testing/tst_view.cpp
+++ b/router/testing/tst_view.cpp
@@ -23,7 +23,7 @@
     Fleet fleet { clock };
 };
 
-TEST_CASE_FIXTURE(ViewFixture, "a batch that comes again changes nothing, a late one neither")
+TEST_CASE_FIXTURE(ViewFixture, "a repeated or late batch changes nothing")
 {
     const auto index = fleet.view.appliedIndex();
     auto batch = proto::FeedBatch {};
@@ -36,7 +36,7 @@
     CHECK(fleet.view.appliedIndex() == index);
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "an old snapshot does not turn the configuration back")
+TEST_CASE_FIXTURE(ViewFixture, "an old snapshot does not revert the configuration")
 {
     auto tables = state::Tables {};
     auto batch = proto::FeedBatch {};
@@ -47,7 +47,7 @@
     CHECK(fleet.view.model(ModelId { "plaques" }));
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "a replica counts from its load to its endpoint's leaving")
+TEST_CASE_FIXTURE(ViewFixture, "a replica is a candidate from its load until its endpoint leaves")
 {
     CHECK(plaques().replicas.empty());
     CHECK(plaques().canEverLoad);
@@ -64,7 +64,7 @@
     CHECK_FALSE(plaques().canEverLoad);
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "a replica of another version does not answer for the model")
+TEST_CASE_FIXTURE(ViewFixture, "a replica of another version does not serve the model")
 {
     fleet.load("plaques", "e1");
     auto spec = *fleet.view.model(ModelId { "plaques" });
@@ -73,7 +73,8 @@
     CHECK(plaques().replicas.empty());
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "addresses: the caller's domain first, never a draining router")
+TEST_CASE_FIXTURE(ViewFixture,
+                  "routers are listed with the caller's domain first, draining ones never")
 {
     fleet.addRouter("r1", "morlaix", "127.0.0.1:1");
     fleet.addRouter("r2", "brasparts", "127.0.0.1:2");
@@ -91,13 +92,13 @@
     CHECK(fleet.view.otherRouters() == std::vector<std::string> { "127.0.0.1:2" });
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "a drain announced here ends with the endpoint's next life")
+TEST_CASE_FIXTURE(ViewFixture, "a drain announced here ends with the endpoint's next incarnation")
 {
     fleet.load("plaques", "e1");
     const auto e1 = EndpointId { "e1" };
     fleet.view.setAnnouncedDraining(e1, Incarnation { 1 }, true);
     CHECK_FALSE(fleet.view.isUsable(e1));
-    // A late announcement of an earlier life changes nothing.
+    // A late announcement of an earlier incarnation changes nothing.
     fleet.view.setAnnouncedDraining(e1, Incarnation { 0 }, false);
     CHECK_FALSE(fleet.view.isUsable(e1));
     auto spec = fleet.endpointSpec("e1", 9001);
@@ -120,7 +121,8 @@
     return request;
 }
 
-TEST_CASE_FIXTURE(ViewFixture, "an announcement names only its own host, a free name and address")
+TEST_CASE_FIXTURE(ViewFixture,
+                  "an announcement may name only its own host, a free name and address")
 {
     const auto kind
             = [this](const http::Request &request, const std::vector<std::string> &proxies = {}) {
--- a/router/view.cpp
+++ b/router/view.cpp
@@ -1,6 +1,7 @@
-// Queries run under a shared lock straight on the ordered tables: the replicas of one model
-// stand side by side, so that a lookup costs a descent and its own rows. Whoever asks often
-// keeps the answer until version() moves. A batch is applied under the exclusive lock.
+// Queries run under a shared lock directly on the ordered tables. The replicas of
+// one model are adjacent, so a lookup costs one tree descent plus the rows it
+// returns. Code that queries often caches the result until version() changes. A
+// batch is applied under the exclusive lock.
 
 #include "router/view.h"
 
@@ -14,10 +15,10 @@
 namespace figrack::router {
 namespace {
 
-/// Weight of the newest load in the mean.
+/// Weight of the latest load time in the moving average.
 constexpr auto loadMeanWeight = 0.25;
 
-auto largeEnough(const state::Tables &tables, const ModelId &model) -> bool
+auto hasLargeEnoughEngine(const state::Tables &tables, const ModelId &model) -> bool
 {
     const auto need = tables.replicaMemoryMb(model);
     const auto &endpoints = tables.endpoints();
@@ -48,7 +49,8 @@
         auto fresh = state::Tables {};
         if (auto status = fresh.restore(batch.snapshot); !status.ok())
             return status;
-        // A snapshot from a control that lags behind the last one must not turn time back.
+        // A snapshot from a control that lags behind the previous source must not revert the
+        // tables to an older state.
         if (fresh.appliedIndex() >= tables_.appliedIndex())
             tables_ = std::move(fresh);
     }
@@ -80,12 +82,12 @@
     auto command = state::decodeCommand(entry.command);
     if (!command.ok())
         return command.status();
-    learnLoad(*command);
+    recordLoadTime(*command);
     (void)tables_.apply(*command, entry.index);
     return absl::OkStatus();
 }
 
-auto View::learnLoad(const state::Command &command) -> void
+auto View::recordLoadTime(const state::Command &command) -> void
 {
     const auto *outcome = std::get_if<state::OrderOutcome>(&command);
     if (outcome == nullptr || outcome->result != state::OrderResult::Loaded)
@@ -200,7 +202,7 @@
             if (out.nextReadyWall == 0 || replica.readyAt < out.nextReadyWall)
                 out.nextReadyWall = replica.readyAt;
         }
-        // A replica of another version than the configuration's must not answer for it.
+        // A replica whose version differs from the configured one must not serve requests.
         if (replica.state != state::ReplicaState::Ready || replica.version != spec->second.version)
             continue;
         const auto address = parseAddress(endpoint->second.spec.address);
@@ -212,7 +214,7 @@
                                    replica.orderedAt, replica.readyAt });
     }
     if (out.replicas.empty() && out.loading == 0)
-        out.canEverLoad = largeEnough(tables_, model);
+        out.canEverLoad = hasLargeEnoughEngine(tables_, model);
 }
 
 auto View::serviceTarget(const ServiceId &service, TargetView &out) const -> void
@@ -305,7 +307,7 @@
     const auto found = announcedDraining_.find(id);
     const auto known = found != announcedDraining_.end();
     if (draining && (!known || found->second < incarnation)) {
-        // Bounded by the endpoints the tables know: an unknown one gets no work anyway.
+        // Unknown endpoints are ignored, which bounds the map. They receive no work anyway.
         if (tables_.endpoints().count(id) == 0)
             return;
         announcedDraining_[id] = incarnation;
--- a/router/work.h
+++ b/router/work.h
@@ -1,4 +1,4 @@
-// A caller's request as the router understands it, and what became of it.
+// Defines a caller's request in parsed form, and its outcome.
 
 #ifndef FIGRACK_ROUTER_WORK_H
 #define FIGRACK_ROUTER_WORK_H
@@ -18,10 +18,10 @@
 
 namespace figrack::router {
 
-/// Whether any of the work may have happened.
+/// Whether any part of the request may have run.
 enum class Ran : std::uint8_t { NotRun, Unknown };
 
-/// @return "not_run" or "unknown", as docs/API.md has it
+/// @return "not_run" or "unknown", as specified in docs/API.md
 auto ranName(Ran ran) -> std::string_view;
 
 struct Work
@@ -30,37 +30,39 @@
     Target target;
     ClassId classId;
     std::string caller;
-    std::string enginePath; ///< Where it goes on the endpoint.
-    std::string_view body;  ///< The caller's request holds it for as long as the work runs.
+    std::string enginePath; ///< The request path on the endpoint.
+    std::string_view body;  ///< Points into the caller's HTTP request, which outlives the work.
     std::string contentType;
     bool stream = false;
     bool repeatable = true;
-    IdempotencyKey key; ///< Empty: none given.
+    IdempotencyKey key; ///< Empty if none was given.
     std::vector<std::uint64_t> prefix;
     Millis startTarget = 0;  ///< ms from arrival.
     Millis finishTarget = 0; ///< ms from arrival.
-    /// Asked before each dispatch's first byte; a claim's deadline. May be empty.
+    /// Called before the first byte of each dispatch is sent; returns false once the deadline of
+    /// the claim has passed. May be empty.
     std::function<bool()> mayStart;
 };
 
-/// How a request ended. When headSent is false the answer is still to be sent.
+/// How a request ended. If headSent is false, the answer has yet to be sent.
 struct Outcome
 {
     report::RequestEnd end = report::RequestEnd::Refused;
-    absl::Status status; ///< Why it was refused or failed; OK for an answer.
+    absl::Status status; ///< Why the request was refused or failed; OK if it was answered.
     Ran ran = Ran::NotRun;
-    Millis retryAfter = -1; ///< ms; negative: none.
-    bool headSent = false;  ///< A stream was begun towards the caller.
+    Millis retryAfter = -1; ///< ms; negative if none is given.
+    bool headSent = false;  ///< A stream to the caller has been started.
     bool cold = false;
-    Millis waited = 0;
-    report::ColdParts parts;   ///< Of a cold start, its first token left out.
-    Millis firstByteAfter = 0; ///< ms from arrival; 0 when there was none.
+    Millis waited = 0;         ///< ms from arrival to the first grant.
+    report::ColdParts parts;   ///< Parts of a cold start, without the time to the first token.
+    Millis firstByteAfter = 0; ///< ms from arrival; 0 if there was none.
 
-    bool whole = false; ///< The endpoint's answer came to its end.
+    bool isComplete = false; ///< The endpoint's answer arrived completely.
     std::uint32_t httpStatus = 0;
     std::string contentType;
-    std::string answer;         ///< Of a call without streaming; of a stream what was kept of it.
-    bool answerIsWhole = false; ///< answer holds all of it.
+    std::string answer; ///< The body of a call without streaming, or the recorded part of a
+                        ///< stream.
+    bool answerIsComplete = false; ///< answer holds the complete answer.
 };
 
 } // namespace figrack::router
