--- a/bench/policysimulation.cpp
+++ b/bench/policysimulation.cpp
@@ -314,7 +314,7 @@
     result.serviceTime = scenario_.service;
     result.slotsPerReplica = info.slots;
     result.mayAdd = 1;
-    const auto wake = planner_.wakeUp(info.id, now_);
+    const auto wake = planner_.readinessOf(info.id, now_);
     result.loading = wake.loading;
     result.nextReady = wake.nextReady;
     result.predictedLoad = wake.load;
@@ -682,7 +682,7 @@
     return report;
 }
 
-auto foreseen(const Scenario &scenario, const std::vector<Arrival> &arrivals) -> KeepForeseen
+auto foreseen(const Scenario &scenario, const std::vector<Arrival> &arrivals) -> KeepByOracle
 {
     auto times = std::map<ModelId, std::vector<Millis>> {};
     for (const auto &arrival : arrivals) {
--- a/bench/policysimulation.h
+++ b/bench/policysimulation.h
@@ -24,7 +24,7 @@
 
 /// @return a rule that knows the arrivals: a model's next use, or that of its adapters
 auto foreseen(const Scenario &scenario, const std::vector<Arrival> &arrivals)
-        -> policy::KeepForeseen;
+        -> policy::KeepByOracle;
 
 } // namespace figrack::bench
 
--- a/fleet/accountledger.cpp
+++ b/fleet/accountledger.cpp
@@ -109,7 +109,7 @@
     if (std::exchange(wasDeaf_, deaf) != deaf) {
         LogEvent(LogLevel::Warning, deaf ? "accounts_not_counted" : "accounts_counted_anew")
                 .with("accounts", static_cast<std::uint64_t>(limits_.size()));
-        limits_.beginAnew(now());
+        limits_.resetBuckets(now());
     }
     if (at < nextNews_)
         return;
--- a/fleet/balancer.cpp
+++ b/fleet/balancer.cpp
@@ -39,7 +39,7 @@
     const auto now = clock_.now();
     for (const auto &rate : request.rates) {
         const auto heardAt = now - std::chrono::milliseconds { rate.ageMs };
-        endpointOf(rate.endpoint).rate.onNamed(rate.perSecond, heardAt, now);
+        endpointOf(rate.endpoint).rate.onAdvertisedRate(rate.perSecond, heardAt, now);
     }
 }
 
@@ -95,7 +95,7 @@
             soonest = &rate;
     }
     auto reply = proto::PickReply {};
-    reply.comeBackMs = std::max(positiveMillis(soonest->tellReturn(now)), 1U);
+    reply.comeBackMs = std::max(positiveMillis(soonest->assignRetryAfter(now)), 1U);
     reply.refusal = proto::PickRefusal::RateUsed;
     return reply;
 }
--- a/fleet/suspectsync.cpp
+++ b/fleet/suspectsync.cpp
@@ -49,7 +49,7 @@
 
 auto SuspectSync::tellOwn() -> void
 {
-    auto news = proto::SuspectNews { quarantine_.takeOwn(policy::millisOf(clock_.now())) };
+    auto news = proto::SuspectNews { quarantine_.takeLocalChanges(policy::millisOf(clock_.now())) };
     if (news.rows.empty())
         return;
     unsaved_ = true;
--- a/fleet/testing/tst_suspectsync.cpp
+++ b/fleet/testing/tst_suspectsync.cpp
@@ -49,7 +49,7 @@
     {
         auto &table = *gateways_[gateway];
         table.onEnd(work, 1, EndpointId { "i-" + std::to_string(++ended_) }, now());
-        tellControls(gateway, table.takeOwn(now()));
+        tellControls(gateway, table.takeLocalChanges(now()));
     }
 
     auto standStill(std::size_t control, bool still) -> void { controls_[control].still = still; }
@@ -236,7 +236,7 @@
         auto &table = *gateways_[message.target];
         for (const auto &row : std::get<proto::SuspectNews>(message.envelope.payload).rows)
             table.merge(row, now());
-        tellControls(message.target, table.takeOwn(now()));
+        tellControls(message.target, table.takeLocalChanges(now()));
     }
 
     ManualClock clock_;
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -43,7 +43,8 @@
         , picker_(options_.picker, feed_.balancerLink(), metrics_, random_, clock)
         , endings_({}, { context, clock, view_, quarantine_, metrics_ },
                    [this] {
-                       feed_.sendSuspects(quarantine_.takeOwn(policy::millisOf(clock_.now())));
+                       feed_.sendSuspects(
+                               quarantine_.takeLocalChanges(policy::millisOf(clock_.now())));
                    })
         , forwarder_(options_.forwarder,
                      { context, clock, dialect, view_, retries_, demand_, waiters_, metrics_,
@@ -153,7 +154,7 @@
                     .with("release_ms", verdict.releaseIn);
         }
         // Of those, what has completed here of late.
-        if (const auto own = quarantine_.takeOwn(now); !own.empty())
+        if (const auto own = quarantine_.takeLocalChanges(now); !own.empty())
             feed_.sendSuspects(own);
     }
 
--- a/gateway/lonerates.cpp
+++ b/gateway/lonerates.cpp
@@ -36,7 +36,7 @@
     const auto inWindow = perSecond * part() * inSeconds(window);
     auto options = policy::RateLimiterOptions {};
     options.part = part();
-    options.firstTokens = random_.chance(std::min(inWindow, 1.0)) ? 1 : -random_.unit();
+    options.initialTokens = random_.chance(std::min(inWindow, 1.0)) ? 1 : -random_.unit();
     return { policy::RateLimiter { options }, clock_.now() };
 }
 
@@ -49,9 +49,9 @@
         found = rows_.emplace(id, begin(perSecond)).first;
     auto &[limiter, usedAt] = found->second;
     usedAt = now;
-    limiter.onNamed(perSecond, now, now);
+    limiter.onAdvertisedRate(perSecond, now, now);
     if (!limiter.allows(now))
-        return limiter.tellReturn(now);
+        return limiter.assignRetryAfter(now);
     limiter.take(now);
     return std::nullopt;
 }
--- a/policy/accountlimits.cpp
+++ b/policy/accountlimits.cpp
@@ -45,7 +45,7 @@
     return static_cast<Millis>(std::ceil(std::max(units, 0.0) * millisPerSecond / fillRate(limit)));
 }
 
-auto AccountLimits::beginAnew(Millis now) -> void
+auto AccountLimits::resetBuckets(Millis now) -> void
 {
     since_ = now;
     for (auto &[account, bucket] : buckets_) {
--- a/policy/accountlimits.h
+++ b/policy/accountlimits.h
@@ -91,7 +91,7 @@
 public:
     AccountLimits(AccountLimitsOptions options, Millis now);
     /// This counter cannot hear what others admit, or hears it again: all its buckets begin anew.
-    auto beginAnew(Millis now) -> void;
+    auto resetBuckets(Millis now) -> void;
     /// @param work the same when the request comes back
     /// @return nullopt when the charge is admitted, and counted; else after how long the account
     /// has room for it, later for each one that is refused
--- a/policy/keepwarm.h
+++ b/policy/keepwarm.h
@@ -36,13 +36,13 @@
 struct KeepEverything
 { };
 /// Knows the arrivals: the bound for the benchmark.
-struct KeepForeseen
+struct KeepByOracle
 {
     /// The time of a model's next arrival after now; negative when none.
     std::function<Millis(const ModelId &, Millis)> nextUse;
 };
 using KeepRule
-        = std::variant<KeepByTarget, KeepFixed, KeepUntilNeeded, KeepEverything, KeepForeseen>;
+        = std::variant<KeepByTarget, KeepFixed, KeepUntilNeeded, KeepEverything, KeepByOracle>;
 
 /// The price of one missed target of a class, accelerator-ms.
 class MissPrice
--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -261,7 +261,7 @@
         {
             return impl.value_.keepRatio(model, 0, now);
         }
-        auto operator()(const KeepForeseen &rule) const -> double
+        auto operator()(const KeepByOracle &rule) const -> double
         {
             const auto next = rule.nextUse(replica.info.model, now);
             return next < 0 ? 0.0 : 1.0 / static_cast<double>(std::max<Millis>(next - now, 1));
@@ -295,7 +295,7 @@
         }
         auto operator()(const KeepUntilNeeded &) const -> bool { return false; }
         auto operator()(const KeepEverything &) const -> bool { return false; }
-        auto operator()(const KeepForeseen &rule) const -> bool
+        auto operator()(const KeepByOracle &rule) const -> bool
         {
             // Idle for much longer than a load takes: cheaper to load again in time.
             const auto next = rule.nextUse(id, now);
@@ -367,7 +367,7 @@
         auto operator()(const KeepFixed &) const -> double { return 0; }
         auto operator()(const KeepUntilNeeded &) const -> double { return 0; }
         auto operator()(const KeepEverything &) const -> double { return fitsOnly; }
-        auto operator()(const KeepForeseen &rule) const -> double
+        auto operator()(const KeepByOracle &rule) const -> double
         {
             const auto next = rule.nextUse(id, now);
             const auto load = impl.value_.coldStart(model, now);
@@ -387,12 +387,12 @@
     if (worth > 0)
         needs_.push_back({ id, NeedKind::Predicted, 1, now, value_.coldStart(model, now),
                            worth * static_cast<double>(model.info.memoryMb) });
-    const auto unasked = std::holds_alternative<KeepForeseen>(options_.keep)
+    const auto unasked = std::holds_alternative<KeepByOracle>(options_.keep)
             || std::holds_alternative<KeepEverything>(options_.keep);
     if (!model.history.seen() && !unasked)
         return;
     const auto age = unasked ? 0 : (now - model.history.lastAt()) / 4;
-    const auto wait = std::holds_alternative<KeepForeseen>(options_.keep)
+    const auto wait = std::holds_alternative<KeepByOracle>(options_.keep)
             ? reviewWarmMin
             : std::clamp(age, reviewColdMin, reviewColdMax);
     setReview(id, model, now + wait);
@@ -660,9 +660,9 @@
     return impl_->plan(now);
 }
 
-auto Planner::wakeUp(const ModelId &model, Millis now) const -> WakeUp
+auto Planner::readinessOf(const ModelId &model, Millis now) const -> ModelReadiness
 {
-    auto result = WakeUp {};
+    auto result = ModelReadiness {};
     const auto *row = impl_->fleet_.findModel(model);
     if (row == nullptr)
         return result;
--- a/policy/planner.h
+++ b/policy/planner.h
@@ -46,7 +46,7 @@
 };
 
 /// When a model could take a request, as far as the planner knows.
-struct WakeUp
+struct ModelReadiness
 {
     std::uint32_t ready = 0;   ///< Replicas on usable endpoints.
     std::uint32_t loading = 0; ///< The same, on the way.
@@ -81,7 +81,7 @@
     /// @return what to change now, most urgent first
     auto plan(Millis now) -> std::vector<Decision>;
     /// @return when the model could take a request; what a router's ModelView needs
-    auto wakeUp(const ModelId &model, Millis now) const -> WakeUp;
+    auto readinessOf(const ModelId &model, Millis now) const -> ModelReadiness;
     /// @return how long a load of the model from a tier would take now, ms
     auto predictedLoad(const ModelId &model, Tier from, Millis now) const -> Millis;
 
--- a/policy/quarantine.cpp
+++ b/policy/quarantine.cpp
@@ -147,7 +147,7 @@
     return result;
 }
 
-auto Quarantine::takeOwn(Millis now) -> std::vector<SuspectRow>
+auto Quarantine::takeLocalChanges(Millis now) -> std::vector<SuspectRow>
 {
     auto result = std::vector<SuspectRow> {};
     for (const auto &work : own_) {
--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -3,7 +3,7 @@
 //   if (quarantine.verdict(works, now).standing == Standing::Quarantined) refuse();
 //   quarantine.onEnd(works, account, endpoint, now);   // the endpoint ended under it
 //   quarantine.onCompleted(works, now);                // a run of it has ended well
-//   for (row : quarantine.takeOwn(now)) tell(row);    // what others do not know yet
+//   for (row : quarantine.takeLocalChanges(now)) tell(row);    // what others do not know yet
 //   quarantine.merge(row, now);                       // what others told
 //
 // When an endpoint ends, all work in progress there is suspected alike. Sound
@@ -94,7 +94,7 @@
     /// @return the rows with so many ends that count, or more
     auto rows(std::uint32_t leastEnds, Millis now) const -> std::vector<catalogue::SuspectRow>;
     /// @return the rows that changed here since the last call, but for what merge() took over
-    auto takeOwn(Millis now) -> std::vector<catalogue::SuspectRow>;
+    auto takeLocalChanges(Millis now) -> std::vector<catalogue::SuspectRow>;
     auto size() const -> std::size_t { return rows_.size(); }
     /// @return rows of work in quarantine
     auto quarantined(Millis now) const -> std::size_t;
@@ -126,7 +126,7 @@
     QuarantineOptions options_;
     Rows rows_;
     std::map<std::uint64_t, std::size_t> rowsOfAccount_;
-    std::set<catalogue::WorkId> own_;                           ///< For takeOwn().
+    std::set<catalogue::WorkId> own_;                           ///< For takeLocalChanges().
     std::unordered_map<catalogue::WorkId, Millis> completedAt_; ///< The latest run.
     std::deque<std::pair<Millis, catalogue::WorkId>> completions_;
 };
--- a/policy/ratelimiter.cpp
+++ b/policy/ratelimiter.cpp
@@ -5,7 +5,8 @@
 #include "core/duration.h"
 
 namespace figrack::policy {
-auto RateLimiter::onNamed(std::optional<double> perSecond, Instant heardAt, Instant now) -> void
+auto RateLimiter::onAdvertisedRate(std::optional<double> perSecond, Instant heardAt, Instant now)
+        -> void
 {
     if (heardAt < heardAt_)
         return;
@@ -14,7 +15,7 @@
     refill(now);
     named_ = perSecond;
     if (isLimited() && !wasLimited) {
-        tokens_ = options_.firstTokens;
+        tokens_ = options_.initialTokens;
         lastReturn_ = now;
     }
 }
@@ -69,7 +70,7 @@
     return std::min(next, now + options_.latestReturn);
 }
 
-auto RateLimiter::tellReturn(Instant now) -> Duration
+auto RateLimiter::assignRetryAfter(Instant now) -> Duration
 {
     lastReturn_ = nextAt(now);
     return lastReturn_ - now;
--- a/policy/ratelimiter.h
+++ b/policy/ratelimiter.h
@@ -1,8 +1,9 @@
 // Keeps what is sent to one endpoint to the rate that the endpoint names.
 //
 //   auto limiter = RateLimiter { options };
-//   limiter.onNamed(perSecond, heardAt, now);
-//   if (limiter.allows(now)) { limiter.take(now); send(); } else refuse(limiter.tellReturn(now));
+//   limiter.onAdvertisedRate(perSecond, heardAt, now);
+//   if (limiter.allows(now)) { limiter.take(now); send(); } else
+//   refuse(limiter.assignRetryAfter(now));
 //
 // The load that it answers: an overloaded endpoint that takes some requests a second from
 // all gateways together, while callers ask for more. Tokens come evenly, and few are kept: what it
@@ -30,7 +31,7 @@
     /// more again.
     double leastPerSecond = 0.1;
     /// When an endpoint first names a rate; below zero the first request waits longer.
-    double firstTokens = 1;
+    double initialTokens = 1;
     /// Nobody is told to come back later: a replica elsewhere takes about as long.
     Duration latestReturn = std::chrono::seconds { 4 };
 };
@@ -42,7 +43,7 @@
         : options_(options)
     { }
     /// @param perSecond requests a second; absent: any number @param heardAt when it was named
-    auto onNamed(std::optional<double> perSecond, Instant heardAt, Instant now) -> void;
+    auto onAdvertisedRate(std::optional<double> perSecond, Instant heardAt, Instant now) -> void;
     /// Changes the part of the named rate that this sender may use. @param part above 0
     auto setPart(double part, Instant now) -> void;
     auto isLimited() const -> bool { return named_.has_value(); }
@@ -55,7 +56,7 @@
     auto nextAt(Instant now) const -> Instant;
     /// A request is told to come back.
     /// @return how long after now
-    auto tellReturn(Instant now) -> Duration;
+    auto assignRetryAfter(Instant now) -> Duration;
 
 private:
     auto perSecond() const -> double;
--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -37,7 +37,7 @@
     const auto doublings = std::min(std::max(attempt.attempts, 1U) - 1, mostDoublings);
     const auto bound = std::min(options_.firstDelay << doublings, options_.maxDelay);
     const auto delay = static_cast<Millis>(random_.below(static_cast<std::uint64_t>(bound) + 1));
-    if (now + delay > attempt.lastStart)
+    if (now + delay > attempt.latestStart)
         return std::nullopt;
     tokens_ -= 1;
     FIGRACK_CHECK(attempt.repeatable || !attempt.mayHaveRun,
--- a/policy/retry.h
+++ b/policy/retry.h
@@ -38,7 +38,7 @@
     std::uint32_t attempts = 1; ///< Made so far, this one included.
     bool repeatable = false;    ///< The request may run more than once.
     bool mayHaveRun = true;     ///< False only when it is certain that it did not run.
-    Millis lastStart = 0;       ///< After this an attempt would be of no use, absolute.
+    Millis latestStart = 0;     ///< After this an attempt would be of no use, absolute.
 };
 
 class RetryBudget
--- a/policy/testing/tst_accountlimits.cpp
+++ b/policy/testing/tst_accountlimits.cpp
@@ -93,7 +93,7 @@
     CHECK_FALSE(limits.admit(chargeOf(90), ++work, later).has_value()); // A tenth of the tolerance.
     CHECK(limits.admit(chargeOf(90), ++work, later).has_value());
     CHECK(roomOf(limits, later + 10'000) == doctest::Approx(held));
-    limits.beginAnew(later + 10'000);
+    limits.resetBuckets(later + 10'000);
     CHECK(roomOf(limits, later + 10'000) == doctest::Approx(90));
 }
 
@@ -120,7 +120,7 @@
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(100), ++work, later).has_value());
-    limits.beginAnew(later);
+    limits.resetBuckets(later);
     CHECK_FALSE(limits.admit(chargeOf(50), ++work, later).has_value());
     auto row = catalogue::AccountUse { AccountId { "a" }, 1000, 1000, 300, false, limit,
                                        Revision { 1 } };
--- a/policy/testing/tst_quarantine.cpp
+++ b/policy/testing/tst_quarantine.cpp
@@ -247,9 +247,9 @@
     const auto work = workOf("poison");
     for (std::size_t i = 0; i < gateways.size(); ++i) {
         gateways[i].onEnd(work, account, endpointOf(i), start);
-        for (const auto &row : gateways[i].takeOwn(start))
+        for (const auto &row : gateways[i].takeLocalChanges(start))
             CHECK(control.merge(row, start));
-        CHECK(gateways[i].takeOwn(start).empty());
+        CHECK(gateways[i].takeLocalChanges(start).empty());
     }
     CHECK(standingOf(control, work, start) == Standing::Quarantined);
     for (auto &gateway : gateways) {
@@ -259,10 +259,10 @@
         // The age travels with the row: the time of release is the same everywhere.
         CHECK(gateway.verdict(work, start + second).releaseIn
               == control.verdict(work, start + second).releaseIn);
-        CHECK(gateway.takeOwn(start).empty()); // What was told is not told back.
+        CHECK(gateway.takeLocalChanges(start).empty()); // What was told is not told back.
     }
     gateways[1].onCompleted(work, start + 2 * second);
-    for (const auto &row : gateways[1].takeOwn(start + 2 * second))
+    for (const auto &row : gateways[1].takeLocalChanges(start + 2 * second))
         control.merge(row, start + 2 * second);
     CHECK(standingOf(control, work, start + 2 * second) == Standing::Clear);
 }
@@ -278,7 +278,7 @@
     CHECK(quarantine.merge(row, start + second));
     CHECK(standingOf(quarantine, work, start + second) == Standing::Clear);
     // The others are told of that run.
-    REQUIRE(quarantine.takeOwn(start + second).size() == 1);
+    REQUIRE(quarantine.takeLocalChanges(start + second).size() == 1);
 }
 
 TEST_CASE("Two kinds of poison at once are both found, and nothing else is")
--- a/policy/testing/tst_ratelimiter.cpp
+++ b/policy/testing/tst_ratelimiter.cpp
@@ -30,7 +30,7 @@
         auto clock = ManualClock {};
         auto random = Random { 7 };
         auto limiter = RateLimiter {};
-        limiter.onNamed(rate, clock.now(), clock.now());
+        limiter.onAdvertisedRate(rate, clock.now(), clock.now());
         auto sent = std::deque<Instant> {};
         auto total = 0;
         const auto begun = clock.now();
@@ -56,12 +56,12 @@
     auto clock = ManualClock {};
     const auto first = clock.now();
     auto limiter = RateLimiter {};
-    limiter.onNamed(1, first + 2s, first + 2s);
-    limiter.onNamed(std::nullopt, first + 1s, first + 3s);
+    limiter.onAdvertisedRate(1, first + 2s, first + 2s);
+    limiter.onAdvertisedRate(std::nullopt, first + 1s, first + 3s);
     CHECK(limiter.isLimited());
-    limiter.onNamed(std::nullopt, first + 3s, first + 3s);
+    limiter.onAdvertisedRate(std::nullopt, first + 3s, first + 3s);
     CHECK_FALSE(limiter.isLimited());
-    limiter.onNamed(5, first + 2s, first + 4s);
+    limiter.onAdvertisedRate(5, first + 2s, first + 4s);
     CHECK_FALSE(limiter.isLimited());
 }
 
@@ -70,19 +70,19 @@
     auto clock = ManualClock {};
     const auto now = clock.now();
     auto limiter = RateLimiter {};
-    limiter.onNamed(2, now, now);
+    limiter.onAdvertisedRate(2, now, now);
     limiter.take(now);
-    CHECK(limiter.tellReturn(now) == 500ms);
-    CHECK(limiter.tellReturn(now) == 1000ms);
+    CHECK(limiter.assignRetryAfter(now) == 500ms);
+    CHECK(limiter.assignRetryAfter(now) == 1000ms);
     for (auto i = 0; i < 20; ++i)
-        CHECK(limiter.tellReturn(now) <= RateLimiterOptions {}.latestReturn);
+        CHECK(limiter.assignRetryAfter(now) <= RateLimiterOptions {}.latestReturn);
 }
 
 TEST_CASE("An endpoint that takes none is asked now and then whether it still does")
 {
     auto clock = ManualClock {};
     auto limiter = RateLimiter {};
-    limiter.onNamed(0, clock.now(), clock.now());
+    limiter.onAdvertisedRate(0, clock.now(), clock.now());
     limiter.take(clock.now());
     clock.advance(9s);
     CHECK_FALSE(limiter.allows(clock.now()));
--- a/policy/testing/tst_retry.cpp
+++ b/policy/testing/tst_retry.cpp
@@ -58,16 +58,16 @@
             const auto delay = budget.next(attempt, 1000);
             const auto allowed = (attempt.repeatable || !attempt.mayHaveRun)
                     && attempt.attempts < options.maxAttempts && ledger >= 1;
-            if (!allowed || attempt.lastStart < 1000)
+            if (!allowed || attempt.latestStart < 1000)
                 CHECK_FALSE(delay);
-            if (allowed && attempt.lastStart >= 1000 + options.maxDelay)
+            if (allowed && attempt.latestStart >= 1000 + options.maxDelay)
                 CHECK(delay);
             if (!delay)
                 continue;
             ledger -= 1;
             CHECK(*delay >= 0);
             CHECK(*delay <= options.firstDelay << (attempt.attempts - 1));
-            CHECK(1000 + *delay <= attempt.lastStart);
+            CHECK(1000 + *delay <= attempt.latestStart);
         }
         CHECK(budget.left() == static_cast<std::uint32_t>(ledger));
     }
--- a/router/dispatch.cpp
+++ b/router/dispatch.cpp
@@ -272,7 +272,7 @@
     attempt.repeatable = work_.repeatable;
     // What a stream has given cannot be taken back, even if this round ran nothing.
     attempt.mayHaveRun = round.end != RoundEnd::NotRun || outcome_.headSent;
-    attempt.lastStart = nowMs + waitLeft();
+    attempt.latestStart = nowMs + waitLeft();
     return owner_.budget_.next(attempt, nowMs);
 }
 
