--- a/policy/accountlimits.cpp
+++ b/policy/accountlimits.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr auto millisPerSecond = 1000.0;
-/// Over which an account's use is averaged, in milliseconds.
+/// Time constant over which an account's use is averaged, in milliseconds.
 constexpr auto useWindow = 4000.0;
 
 auto seconds(Millis span) -> double
@@ -20,7 +20,7 @@
 
 AccountLimits::AccountLimits(AccountLimitsOptions options, Millis now)
     : options_(options)
-    , since_(now)
+    , connectedSince_(now)
 { }
 
 auto AccountLimits::fillRate(const catalogue::RateLimit &limit) const -> double
@@ -36,10 +36,10 @@
 
 auto AccountLimits::capacity(const catalogue::RateLimit &limit) const -> double
 {
-    return tolerance(limit) * options_.heldPart;
+    return tolerance(limit) * options_.burstFraction;
 }
 
-/// @return whole milliseconds, rounded up, until the units have come in
+/// @return whole milliseconds, rounded up, until the bucket has gained the units
 auto AccountLimits::timeFor(const catalogue::RateLimit &limit, double units) const -> Millis
 {
     return static_cast<Millis>(std::ceil(std::max(units, 0.0) * millisPerSecond / fillRate(limit)));
@@ -47,13 +47,13 @@
 
 auto AccountLimits::resetBuckets(Millis now) -> void
 {
-    since_ = now;
+    connectedSince_ = now;
     for (auto &[account, bucket] : buckets_) {
         fill(bucket, now);
-        bucket.level = std::min(bucket.level, tolerance(bucket.limit) * options_.startPart);
+        bucket.level = std::min(bucket.level, tolerance(bucket.limit) * options_.initialFraction);
         bucket.isKnown = false;
-        bucket.begunAt = now;
-        bucket.admittedBefore = bucket.admitted;
+        bucket.startedAt = now;
+        bucket.admittedBeforeReset = bucket.admitted;
     }
 }
 
@@ -63,9 +63,9 @@
     auto found = buckets_.find(account);
     if (found == buckets_.end()) {
         makeRoom(now);
-        const auto start = tolerance(limit) * options_.startPart;
-        found = buckets_.emplace(account, Bucket { limit, version, start, since_ }).first;
-        found->second.begunAt = since_;
+        const auto start = tolerance(limit) * options_.initialFraction;
+        found = buckets_.emplace(account, Bucket { limit, version, start, connectedSince_ }).first;
+        found->second.startedAt = connectedSince_;
     }
     auto &bucket = found->second;
     fill(bucket, now);
@@ -84,7 +84,7 @@
     bucket.level = std::min(level, capacity(bucket.limit));
     bucket.used *= std::exp(-static_cast<double>(passed) / useWindow);
     bucket.filledAt = std::max(now, bucket.filledAt);
-    bucket.isKnown = bucket.isKnown || now - bucket.begunAt >= options_.window;
+    bucket.isKnown = bucket.isKnown || now - bucket.startedAt >= options_.window;
 }
 
 auto AccountLimits::take(Bucket &bucket, double cost) const -> void
@@ -93,53 +93,58 @@
     bucket.used = std::max(bucket.used + cost, 0.0);
 }
 
-/// Gateways have turned to this counter. The one that they asked before may be cut off from this
-/// one, and have gone on unheard.
-auto AccountLimits::takeUnheard(Bucket &bucket, Millis now) const -> void
+/// Called when gateways may have switched to this counter. The counter that they asked before may
+/// be cut off from this one and may have gone on admitting, so this deducts the account's recent
+/// rate for the time without updates.
+auto AccountLimits::deductUnreported(Bucket &bucket, Millis now) const -> void
 {
-    if (bucket.heardAt <= bucket.admittedAt)
+    if (bucket.lastUpdateAt <= bucket.admittedAt)
         return;
-    const auto silent = std::min(now - bucket.heardAt, options_.unheardFor) - options_.newsTake;
+    const auto silent = std::min(now - bucket.lastUpdateAt, options_.maxUnreportedTime)
+            - options_.updateDelay;
     if (silent > 0)
         bucket.level -= bucket.used * static_cast<double>(silent) / useWindow;
 }
 
-auto AccountLimits::dropReturn(Bucket &bucket, std::map<std::uint64_t, Return>::iterator item)
-        -> std::map<std::uint64_t, Return>::iterator
+auto AccountLimits::dropReservation(Bucket &bucket,
+                                    std::map<std::uint64_t, Reservation>::iterator item)
+        -> std::map<std::uint64_t, Reservation>::iterator
 {
-    bucket.kept -= item->second.cost;
-    return bucket.returns.erase(item);
+    bucket.reserved -= item->second.cost;
+    return bucket.reservations.erase(item);
 }
 
-/// @return after how long there is room for a request of the cost; nullopt: there is room now
+/// Admits the request or reserves room for it.
+/// @return time in ms until there is room for a request of this cost; nullopt: there is room now
 auto AccountLimits::refuse(Bucket &bucket, double cost, std::uint64_t work, Millis now) const
         -> std::optional<Millis>
 {
-    auto due = 0.0;
-    for (auto item = bucket.returns.begin(); item != bucket.returns.end();) {
-        const auto isOver = now >= item->second.at + options_.keptFor;
-        due += !isOver && now >= item->second.at ? item->second.cost : 0;
-        item = isOver ? dropReturn(bucket, item) : std::next(item);
+    auto dueCost = 0.0;
+    for (auto item = bucket.reservations.begin(); item != bucket.reservations.end();) {
+        const auto isExpired = now >= item->second.at + options_.reservationTtl;
+        dueCost += !isExpired && now >= item->second.at ? item->second.cost : 0;
+        item = isExpired ? dropReservation(bucket, item) : std::next(item);
     }
     // A request that costs more than a full bucket holds is admitted when the bucket is full.
-    const auto lacks = std::min(cost, capacity(bucket.limit)) - bucket.level;
-    const auto own = bucket.returns.find(work);
-    const auto comesBack = own != bucket.returns.end() && now >= own->second.at;
-    const auto isAdmitted = comesBack ? lacks <= 0 : lacks + due <= 0;
-    if (own != bucket.returns.end())
-        dropReturn(bucket, own);
+    const auto shortfall = std::min(cost, capacity(bucket.limit)) - bucket.level;
+    const auto own = bucket.reservations.find(work);
+    const auto comesBack = own != bucket.reservations.end() && now >= own->second.at;
+    const auto isAdmitted = comesBack ? shortfall <= 0 : shortfall + dueCost <= 0;
+    if (own != bucket.reservations.end())
+        dropReservation(bucket, own);
     if (isAdmitted)
         return std::nullopt;
     ++bucket.refused;
-    const auto roomIn = std::max<Millis>(timeFor(bucket.limit, lacks + bucket.kept), 1);
-    if (roomIn >= options_.latestReturn || bucket.returns.size() >= options_.maxReturns)
-        return options_.latestReturn;
-    bucket.returns[work] = { now + roomIn, cost };
-    bucket.kept += cost;
+    const auto roomIn = std::max<Millis>(timeFor(bucket.limit, shortfall + bucket.reserved), 1);
+    if (roomIn >= options_.maxRetryAfter || bucket.reservations.size() >= options_.maxReservations)
+        return options_.maxRetryAfter;
+    bucket.reservations[work] = { now + roomIn, cost };
+    bucket.reserved += cost;
     return roomIn;
 }
 
-auto AccountLimits::countAlone(Bucket &bucket, const catalogue::AccountCharge &charge) -> void
+auto AccountLimits::countSelfAdmitted(Bucket &bucket, const catalogue::AccountCharge &charge)
+        -> void
 {
     if (charge.admittedAlone == 0)
         return;
@@ -153,9 +158,9 @@
         -> std::optional<Millis>
 {
     auto &bucket = bucketOf(charge.account, charge.limit, charge.version, now);
-    takeUnheard(bucket, now);
-    bucket.admittedAt = std::max(bucket.admittedAt, bucket.heardAt);
-    countAlone(bucket, charge);
+    deductUnreported(bucket, now);
+    bucket.admittedAt = std::max(bucket.admittedAt, bucket.lastUpdateAt);
+    countSelfAdmitted(bucket, charge);
     return refuse(bucket, static_cast<double>(charge.cost), work, now);
 }
 
@@ -202,7 +207,7 @@
         return false;
     const auto &bucket = found->second;
     const auto most = fillRate(bucket.limit) * useWindow / millisPerSecond;
-    return bucket.used >= most * options_.nearPart;
+    return bucket.used >= most * options_.nearLimitFraction;
 }
 
 auto AccountLimits::takeNews(Millis now) -> std::vector<catalogue::AccountUse>
@@ -214,36 +219,36 @@
             continue;
         auto &bucket = found->second;
         fill(bucket, now);
-        const auto latest = bucket.admitted - std::exchange(bucket.told, bucket.admitted);
+        const auto latest = bucket.admitted - std::exchange(bucket.reported, bucket.admitted);
         rows.push_back({ account, bucket.admitted, latest, bucket.level, bucket.isKnown,
                          bucket.limit, bucket.version });
     }
     return rows;
 }
 
-auto AccountLimits::onNews(const NodeId &counter, Incarnation life,
+auto AccountLimits::onNews(const NodeId &counter, Incarnation incarnation,
                            const std::vector<catalogue::AccountUse> &rows, Millis now) -> void
 {
-    auto &told = counters_[counter];
-    if (told.life != life)
-        told = Counter { life, {} };
+    auto &reported = counters_[counter];
+    if (reported.incarnation != incarnation)
+        reported = Counter { incarnation, {} };
     for (const auto &row : rows) {
         const auto isUsable = row.limit.isSet() && std::isfinite(row.admitted)
                 && std::isfinite(row.latest) && std::isfinite(row.room);
         if (!isUsable)
             continue;
-        // Of a sum that is heard for the first time, only the end is news: a bucket that begins
-        // here accounts for what was before it.
-        const auto [item, isFirst] = told.admitted.try_emplace(row.account, row.admitted);
+        // For a sum received for the first time, only its latest part counts: the initial level of
+        // a new bucket already accounts for what was admitted before.
+        const auto [item, isFirst] = reported.admitted.try_emplace(row.account, row.admitted);
         const auto before = std::exchange(item->second, row.admitted);
         auto &bucket = bucketOf(row.account, row.limit, row.version, now);
         take(bucket, isFirst ? row.latest : row.admitted - before);
-        bucket.heardAt = now;
+        bucket.lastUpdateAt = now;
         if (bucket.isKnown || !row.isKnown)
             continue;
-        // The other one knows what was admitted before this counter began.
+        // The other counter knows what was admitted before this one started.
         bucket.isKnown = true;
-        bucket.level = std::min(row.room - (bucket.admitted - bucket.admittedBefore),
+        bucket.level = std::min(row.room - (bucket.admitted - bucket.admittedBeforeReset),
                                 capacity(bucket.limit));
     }
 }
@@ -252,13 +257,13 @@
 {
     if (buckets_.size() < options_.maxAccounts)
         return;
-    // What is full says nothing that a new bucket would not say.
+    // A full bucket that has nothing left to report holds no information that a new bucket lacks.
     std::erase_if(buckets_, [&](const auto &item) {
         auto bucket = item.second;
         fill(bucket, now);
         return bucket.level >= capacity(bucket.limit) && !changed_.contains(item.first);
     });
-    // A new bucket begins nearly empty: the fullest one is forgotten at the least loss.
+    // A new bucket starts nearly empty, so erasing the fullest one loses the least.
     if (buckets_.size() >= options_.maxAccounts) {
         const auto fullness = [&](const auto &item) {
             auto bucket = item.second;
@@ -276,9 +281,10 @@
     }
 }
 
-auto AccountLimits::standings(std::size_t most, Millis now) const -> std::vector<AccountStanding>
+auto AccountLimits::accountStatuses(std::size_t most, Millis now) const
+        -> std::vector<AccountStatus>
 {
-    auto result = std::vector<AccountStanding> {};
+    auto result = std::vector<AccountStatus> {};
     for (const auto &[account, known] : buckets_) {
         auto bucket = known;
         fill(bucket, now);
--- a/policy/accountlimits.h
+++ b/policy/accountlimits.h
@@ -1,38 +1,37 @@
-// How much of its limit each client account has used, over all gateways.
+// Rate limits of client accounts, counted over all gateways.
 //
 //   if (const auto roomIn = limits.admit(charge, work, now)) refuse(*roomIn);
-//   limits.giveBack(account, cost, now);               // admitted, and did not run
-//   for (row : limits.takeNews(now)) tell(row);        // to the others that count
-//   limits.onNews(node, life, rows, now);
+//   limits.giveBack(account, cost, now);               // admitted, but did not run
+//   for (row : limits.takeNews(now)) send(row);        // to the other counters
+//   limits.onNews(node, incarnation, rows, now);       // received from another counter
 //
-// The load it answers: accounts whose requests cost from 200 to 40,000 units, seen
-// by tens to thousands of gateways of which each carries one request in a hundred,
-// and an account that asks for six times its limit. Parts of a limit for each
-// gateway are too small for one such request. So whoever books requests for all
-// gateways counts them, and tells the others that may take its place.
+// Expected load: accounts whose requests cost from 200 to 40,000 units, tens to thousands of
+// gateways of which each carries one request in a hundred, and an account that asks for six
+// times its limit. Splitting a limit among the gateways would leave each a part that is too
+// small for one such request. So the process that books requests for all gateways (the
+// counter) counts them, and sends its counts to the others that may take over from it.
 //
-// A limit allows rate * window + burst in any window, and a tolerance beyond. Each
-// account has a bucket that fills by what a window allows, spread evenly over it, and
-// holds a part of the tolerance: an account that asks for too much gets all of its
-// limit, evenly. Counting the windows themselves admits a whole one at once, which
-// takes the room of all others for seconds, and then nothing until it is over; and
-// a counter that takes another's place would need the other's whole window.
+// A limit allows rate * window + burst in any window, and a tolerance beyond that. Each
+// account has a token bucket that fills evenly with what a window allows and holds a part of
+// the tolerance, so an account that asks for too much gets all of its limit, evenly. Counting
+// windows directly would admit a whole window's units at once, which takes the capacity of
+// all other accounts for seconds, and then nothing until the window is over. A counter that
+// takes over would also need the whole window of its predecessor.
 //
-// Who is refused is told when the bucket will have room for it, behind all who were
-// told before. When it comes, known again by its work, it goes before all others; its
-// room is kept from its time on, and not longer than a caller needs to come.
+// A refused request is told when the bucket will have room for it, after all requests that
+// were told before. When it returns, recognized by its work id, it takes precedence over all
+// others. Its room is reserved from that time on, for no longer than a caller needs to return.
 //
-// Every counter holds all buckets: what others have admitted is taken from its own
-// as it hears of it, so that when gateways turn to it the buckets are as its
-// predecessor left them, but for what was admitted in the last instants. Of those it
-// takes as much for admitted as was usual. A counter that starts, or was cut off, does not
-// know what others have admitted: its buckets begin near empty, until another tells
-// how full its own are.
+// Every counter holds all buckets and deducts what the others report as admitted. So when
+// gateways switch to another counter, its buckets are as its predecessor left them, except
+// for what was admitted in the last moments, for which it deducts the account's recent rate.
+// A counter that starts, or was cut off, does not know what the others have admitted: its
+// buckets start nearly empty until another counter reports how full its own are.
 //
-// Guarantees: with one counter at a time no window sees more admitted than its limit
-// and what a full bucket holds; each change of counters adds at most startPart of it
-// and what was admitted within the time that news takes. Pure: no I/O, no clock.
-// Bounded by maxAccounts: what is full makes room. Not thread-safe.
+// Guarantees: with one counter at a time, no window admits more than the limit plus the
+// capacity of a bucket. Each change of counters adds at most initialFraction of the tolerance
+// and what was admitted within the propagation time of updates. Pure: no I/O, no clock.
+// Bounded by maxAccounts: full buckets are evicted first. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_ACCOUNTLIMITS_H
 #define FIGRACK_POLICY_ACCOUNTLIMITS_H
@@ -51,74 +50,78 @@
 struct AccountLimitsOptions
 {
     Millis window = 8000;
-    /// What a window may see beyond its limit: a part of the limit, and units.
+    /// Tolerance of a window beyond its limit: a fraction of the limit, and units.
     double overage = 0.1;
     double slack = 0;
-    /// Parts of that tolerance: the one that a full bucket holds, for requests that come together
-    /// by chance, and the one with which a counter begins that does not know what others have
-    /// admitted. The rest is for what is admitted before news of it has come, and where no counter
-    /// could be asked.
-    double heldPart = 0.7;
-    double startPart = 0.1;
-    /// How long a gateway that no counter reaches goes on admitting by itself.
+    /// Fractions of that tolerance: the capacity of a bucket, for requests that arrive together by
+    /// chance, and the initial level at a counter that does not know what others have admitted.
+    /// The rest covers what is admitted before its update arrives or while no counter can be
+    /// reached.
+    double burstFraction = 0.7;
+    double initialFraction = 0.1;
+    /// How long a gateway that cannot reach any counter goes on admitting by itself.
     Millis aloneFor = 4000;
-    /// A counter whose news of an account have ceased may have gone on unheard for so long, but for
-    /// the time that news takes.
-    Millis unheardFor = 1500;
-    Millis newsTake = 300;
-    /// From this part of a limit on an account is near it.
-    double nearPart = 0.75;
-    /// Nobody is told to come back later than this; for who would have to be no room is kept.
-    Millis latestReturn = 4000;
-    /// Room is kept for so long from the time on that was told: a caller's timer, and its way.
-    Millis keptFor = 250;
-    std::size_t maxReturns = 256; ///< Of one account.
+    /// After updates about an account stop, the other counter may have gone on admitting for up to
+    /// maxUnreportedTime, of which updateDelay is the usual propagation time of an update.
+    Millis maxUnreportedTime = 1500;
+    Millis updateDelay = 300;
+    /// An account that uses at least this fraction of its limit is near it.
+    double nearLimitFraction = 0.75;
+    /// Longest retry time returned. No room is reserved for requests that would need a longer one.
+    Millis maxRetryAfter = 4000;
+    /// How long room is reserved after the retry time: covers the caller's timer and latency.
+    Millis reservationTtl = 250;
+    std::size_t maxReservations = 256; ///< Per account.
     std::size_t maxAccounts = 16'384;
 };
 
-/// An account as a counter sees it, for people.
-struct AccountStanding
+/// State of an account at one counter, for display to operators.
+struct AccountStatus
 {
     AccountId account;
     catalogue::RateLimit limit;
-    double room = 0;           ///< Units that may be asked for at once.
-    double perSecond = 0;      ///< Units admitted of late, over all counters.
-    std::uint64_t refused = 0; ///< Requests beyond the limit, by this counter.
+    double room = 0;           ///< Units that would be admitted at once.
+    double perSecond = 0;      ///< Units admitted recently, over all counters.
+    std::uint64_t refused = 0; ///< Requests over the limit refused by this counter.
 };
 
 class AccountLimits
 {
 public:
     AccountLimits(AccountLimitsOptions options, Millis now);
-    /// This counter cannot hear what others admit, or hears it again: all its buckets begin anew.
+    /// Resets all buckets to at most their initial level. Called when this counter loses or regains
+    /// the updates of the other counters.
     auto resetBuckets(Millis now) -> void;
-    /// @param work the same when the request comes back
-    /// @return nullopt when the charge is admitted, and counted; else after how long the account
-    /// has room for it, later for each one that is refused
+    /// Admits and counts a charge, or refuses it.
+    /// @param work id of the request, the same when it is retried
+    /// @return nullopt when the charge was admitted and counted; otherwise the time in ms until the
+    /// account has room for it, which grows with each refused request
     auto admit(const catalogue::AccountCharge &charge, std::uint64_t work, Millis now)
             -> std::optional<Millis>;
-    /// As admit(), but counts nothing.
+    /// As admit(), but does not count the charge.
     auto roomIn(const catalogue::AccountCharge &charge, std::uint64_t work, Millis now)
             -> std::optional<Millis>;
     auto giveBack(const AccountId &account, std::uint64_t cost, Millis now) -> void;
-    /// A gateway of so many cannot be reached any more: it may go on by itself for aloneFor.
+    /// Deducts what a gateway that became unreachable may admit by itself during aloneFor.
+    /// @param gateways number of gateways, over which the usage is assumed to be spread evenly
     auto onGatewayLost(std::uint32_t gateways, Millis now) -> void;
-    /// @return true when the account has used most of its limit of late
+    /// @return true when the account recently used at least nearLimitFraction of its limit
     auto isNearLimit(const AccountId &account) const -> bool;
 
-    /// @return what was admitted here and was not told yet
+    /// @return the counts of accounts that changed here since the last call
     auto takeNews(Millis now) -> std::vector<catalogue::AccountUse>;
-    /// @param life of the other counter: its sums begin anew with each
-    auto onNews(const NodeId &counter, Incarnation life,
+    /// Applies the counts of another counter.
+    /// @param incarnation of the other counter: its sums start from zero in each
+    auto onNews(const NodeId &counter, Incarnation incarnation,
                 const std::vector<catalogue::AccountUse> &rows, Millis now) -> void;
 
-    /// @return at most so many accounts, those with the least room for their rate first
-    auto standings(std::size_t most, Millis now) const -> std::vector<AccountStanding>;
+    /// @return at most `most` accounts, those with the least room relative to their rate first
+    auto accountStatuses(std::size_t most, Millis now) const -> std::vector<AccountStatus>;
     auto size() const -> std::size_t { return buckets_.size(); }
 
 private:
-    /// Room that is kept for a request that was refused.
-    struct Return
+    /// Room reserved for a refused request that was told when to retry.
+    struct Reservation
     {
         Millis at = 0;
         double cost = 0;
@@ -127,29 +130,29 @@
     {
         catalogue::RateLimit limit;
         Revision version;
-        double level = 0; ///< At filledAt; below zero when others have admitted too much.
+        double level = 0; ///< At filledAt; negative when others have admitted too much.
         Millis filledAt = 0;
-        double used = 0;       ///< Units of late, decayed to filledAt.
-        double admitted = 0;   ///< By this counter.
-        double told = 0;       ///< Of that, what news has told.
-        Millis admittedAt = 0; ///< Here, the last time.
-        Millis heardAt = 0;    ///< Of others, the last time.
-        bool isKnown = false;  ///< Another told it, or this counter has been counting for a window.
-        Millis begunAt = 0;
-        double admittedBefore = 0;               ///< By this counter, before it began anew.
-        std::map<std::uint64_t, Return> returns; ///< By work.
-        double kept = 0;                         ///< Sum of their costs.
+        double used = 0;         ///< Units used recently, decayed to filledAt.
+        double admitted = 0;     ///< Units, by this counter.
+        double reported = 0;     ///< Part of admitted already returned by takeNews().
+        Millis admittedAt = 0;   ///< Time of the last admission by this counter.
+        Millis lastUpdateAt = 0; ///< Time of the last update from another counter.
+        bool isKnown = false;    ///< Reported by a peer, or counted here for a whole window.
+        Millis startedAt = 0;
+        double admittedBeforeReset = 0; ///< By this counter, before its last reset.
+        std::map<std::uint64_t, Reservation> reservations; ///< By work id.
+        double reserved = 0; ///< Sum of the costs of the reservations.
         std::uint64_t refused = 0;
     };
     struct Counter
     {
-        Incarnation life;
-        std::map<AccountId, double> admitted; ///< As told last.
+        Incarnation incarnation;
+        std::map<AccountId, double> admitted; ///< As last reported.
     };
 
-    /// @return units that come in a second
+    /// @return units added per second
     auto fillRate(const catalogue::RateLimit &limit) const -> double;
-    /// @return units that a window may see beyond its limit
+    /// @return units that a window may admit beyond its limit
     auto tolerance(const catalogue::RateLimit &limit) const -> double;
     auto capacity(const catalogue::RateLimit &limit) const -> double;
     auto timeFor(const catalogue::RateLimit &limit, double units) const -> Millis;
@@ -157,16 +160,16 @@
                   Millis now) -> Bucket &;
     auto fill(Bucket &bucket, Millis now) const -> void;
     auto take(Bucket &bucket, double cost) const -> void;
-    auto takeUnheard(Bucket &bucket, Millis now) const -> void;
+    auto deductUnreported(Bucket &bucket, Millis now) const -> void;
     auto refuse(Bucket &bucket, double cost, std::uint64_t work, Millis now) const
             -> std::optional<Millis>;
-    static auto dropReturn(Bucket &bucket, std::map<std::uint64_t, Return>::iterator item)
-            -> std::map<std::uint64_t, Return>::iterator;
-    auto countAlone(Bucket &bucket, const catalogue::AccountCharge &charge) -> void;
+    static auto dropReservation(Bucket &bucket, std::map<std::uint64_t, Reservation>::iterator item)
+            -> std::map<std::uint64_t, Reservation>::iterator;
+    auto countSelfAdmitted(Bucket &bucket, const catalogue::AccountCharge &charge) -> void;
     auto makeRoom(Millis now) -> void;
 
     AccountLimitsOptions options_;
-    Millis since_; ///< Since when this counter hears what others admit.
+    Millis connectedSince_; ///< Since when this counter gets the updates of others.
     std::map<AccountId, Bucket> buckets_;
     std::map<NodeId, Counter> counters_;
     std::set<AccountId> changed_; ///< For takeNews().
--- a/policy/admission.cpp
+++ b/policy/admission.cpp
@@ -1,18 +1,22 @@
-// Each model has one lane a class, an order-statistic tree by start deadline. The place
-// of a newcomer is the sum of its ranks in the lanes, so that its start is predicted in
-// O(classes x log n) without walking the queue. Earliest deadline first alone serves
-// everyone just before the deadline once arrivals exceed capacity, and lets work with
-// close deadlines pass patient work until that is late; so (1) what cannot be served in
-// time is not taken in, (2) a newcomer that would fit if less urgent work gave way
-// displaces it, newest first, since that has waited least, and (3) a lane that was passed
-// over patientShare times is served next and is never shed below that share. Patient work
-// is told at once, not after a long wait, that urgent work will take its place: a place
-// counts the more urgent requests that are expected, at the rate of late, to come in time
-// to go first.
+// Each model has one lane per class: an order-statistic tree ordered by start deadline. The
+// position of a new request is the sum of its ranks in the lanes, so its start is predicted in
+// O(classes x log n) without walking the queue.
 //
-// Dropping as few as possible in recheck() is Moore and Hodgson's rule for equal service
-// times: walk in deadline order and, where one would be late, drop one of those kept so
-// far; which one is free to choose, so the least urgent goes.
+// Pure earliest-deadline-first has two problems: once arrivals exceed capacity it serves every
+// request just before its deadline, and it lets requests with close deadlines pass those with
+// later ones until the latter are late too. Therefore:
+//   1. A request that cannot be served in time is not admitted.
+//   2. A new request that would be in time if less urgent requests were removed displaces
+//      them, newest first, since those have waited least.
+//   3. A lane that was passed over minShareDivisor times is served next, and is never shed
+//      below that share.
+// A request of a less urgent class is refused at once, not after a long wait, if more urgent
+// requests will take its slot: its position includes the more urgent requests that are
+// expected, at their recent rate, to arrive in time to be dispatched first.
+//
+// recheck() drops as few requests as possible by the Moore-Hodgson rule for equal service
+// times: walk in deadline order and, whenever a request would be late, drop one of those kept
+// so far. The rule leaves open which one, so the least urgent is dropped.
 
 #include "policy/admission.h"
 
@@ -49,7 +53,7 @@
         = __gnu_pbds::tree<Key, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
                            __gnu_pbds::tree_order_statistics_node_update>;
 
-/// The rate of late of something that happens at times, by a sum that decays.
+/// The recent rate of events, computed from an exponentially decaying sum.
 class RecentRate
 {
 public:
@@ -58,7 +62,7 @@
         sum_ = 1 + sum_ * decay(now);
         at_ = now;
     }
-    /// @return events a millisecond
+    /// @return events per millisecond
     auto perMilli(Millis now) const -> double { return sum_ * decay(now) / memory; }
 
 private:
@@ -78,16 +82,16 @@
 {
     ClassIndex classIndex = 0;
     RankedKeys keys;
-    std::uint32_t passedOver = 0; ///< Dispatches of other lanes since the last of this one.
+    std::uint32_t passedOver = 0; ///< Dispatches of other lanes since this lane's last one.
     RecentRate admitted;
 };
 
-/// What a pop() changed besides the queue, so that it can be undone.
+/// What a pop() changed in addition to the queue, so that putBack() can undo it.
 struct PopRecord
 {
     std::uint64_t ticket = 0;
-    std::uint32_t passedOver = 0; ///< Of its lane, before.
-    bool counted = false;         ///< As drained.
+    std::uint32_t passedOver = 0; ///< Value of its lane before the pop().
+    bool counted = false;         ///< Whether DrainShare counted it.
 };
 
 struct ModelQueue
@@ -96,14 +100,14 @@
     std::size_t size = 0;
     DrainShare drain;
     std::deque<PopRecord> lastPops; ///< The newest last; bounded.
-    Millis promisedUntil = 0;       ///< Times to come back were given out up to here.
+    Millis lastRetryAt = 0;         ///< Latest retry time that was given to a caller.
 };
 
 struct ClassQueue
 {
     ClassId id;
-    Millis patience = 0; ///< Start target of its last request: the larger, the less urgent.
-    std::set<Key> keys;  ///< Over all models.
+    Millis startTarget = 0; ///< Of its last request; a larger target is less urgent.
+    std::set<Key> keys;     ///< Over all models.
 };
 
 struct Entry
@@ -127,7 +131,8 @@
     return keys.order_of_key(key);
 }
 
-/// How far past its deadlines a request would be if it started then; 0 or less fits.
+/// @return by how much a request that starts at `start` would miss its deadlines, ms; 0 or less
+/// if it meets them
 auto lateness(const QueuedRequest &request, Millis start, Millis service) -> Millis
 {
     if (start == never)
@@ -135,7 +140,7 @@
     return std::max(start - request.startBy, start + service - request.finishBy);
 }
 
-/// Spreads times that were capped over a further tenth, by ticket or time.
+/// Adds up to a tenth to a capped retry time, derived from the seed, to spread callers.
 auto spread(Millis retry, std::uint64_t seed) -> Millis
 {
     constexpr auto goldenRatio = std::uint64_t { 0x9E3779B97F4A7C15 };
@@ -151,7 +156,7 @@
     explicit Impl(QueueOptions options)
         : options_(options)
     {
-        FIGRACK_CHECK(options_.patientShare > 0, "the share of patient work is bounded");
+        FIGRACK_CHECK(options_.minShareDivisor > 0, "minShareDivisor must be positive");
     }
 
     auto admit(const QueuedRequest &request, const ModelView &view, Millis now) -> Verdict;
@@ -165,7 +170,7 @@
             -> std::vector<QueuedRequest>;
     auto retryAfter(const ModelId &model, const ModelView &view, Millis earliest, Millis now)
             -> Millis;
-    auto nextPlace(const ModelId &model, const ModelView &view, Millis now) -> Millis;
+    auto firstSlotAt(const ModelId &model, const ModelView &view, Millis now) -> Millis;
     auto size() const -> std::size_t { return entries_.size(); }
     auto queuedFor(const ModelId &model) const -> std::size_t;
     auto demand() const -> std::vector<DemandInfo>;
@@ -174,24 +179,25 @@
     auto startAt(const ModelQueue &model, const ModelView &view, std::size_t ahead,
                  Millis now) const -> Millis;
     auto shareOf(const ModelQueue &model, const ModelView &view) const -> double;
-    auto observe(ModelQueue &model, const ModelView &view, Millis now) const -> void;
+    auto updateDrainShare(ModelQueue &model, const ModelView &view, Millis now) const -> void;
     auto classIndexOf(const ClassId &id) -> ClassIndex;
     auto laneOf(ModelQueue &model, ClassIndex classIndex) -> Lane &;
     auto boundReached(const QueuedRequest &request) -> bool;
-    auto placeOf(const ModelQueue &model, ClassIndex classIndex, const Key &key, Millis now) const
-            -> std::size_t;
-    auto isSheddable(const ModelQueue &model, const Lane &lane, Millis patience) const -> bool;
-    auto victimsAhead(const ModelQueue &model, Millis patience, const Key &key,
+    auto positionOf(const ModelQueue &model, ClassIndex classIndex, const Key &key,
+                    Millis now) const -> std::size_t;
+    auto isSheddable(const ModelQueue &model, const Lane &lane, Millis startTarget) const -> bool;
+    auto victimsAhead(const ModelQueue &model, Millis startTarget, const Key &key,
                       std::size_t count) const -> std::vector<std::uint64_t>;
-    auto makePlace(const QueuedRequest &request, ClassIndex classIndex, const ModelView &view,
-                   Millis now, std::vector<std::uint64_t> &victims) -> Millis;
-    auto globalVictim(Millis patience) const -> std::optional<std::uint64_t>;
-    auto pushedOut(const ModelId &model, const Key &newcomer, Millis patience,
-                   const ModelView &view, Millis now) const -> std::optional<std::uint64_t>;
+    auto findVictims(const QueuedRequest &request, ClassIndex classIndex, const ModelView &view,
+                     Millis now, std::vector<std::uint64_t> &victims) -> Millis;
+    auto globalVictim(Millis startTarget) const -> std::optional<std::uint64_t>;
+    auto findLateAfterInsert(const ModelId &model, const Key &arrival, Millis startTarget,
+                             const ModelView &view, Millis now) const
+            -> std::optional<std::uint64_t>;
     auto remove(std::uint64_t ticket) -> QueuedRequest;
     auto refuse(const QueuedRequest &request, const ModelView &view, ErrorKind kind,
                 Millis earliest, Millis now) -> Verdict;
-    auto dropExpiredPromises(Millis now) -> void;
+    auto pruneModels(Millis now) -> void;
 
     QueueOptions options_;
     std::unordered_map<std::uint64_t, Entry> entries_;
@@ -211,7 +217,7 @@
     return found->second;
 }
 
-/// @return the part of the model's slots that this queue gets beside those of other routers
+/// @return the share of the model's slots that this queue gets; other routers use the rest
 auto RequestQueue::Impl::shareOf(const ModelQueue &model, const ModelView &view) const -> double
 {
     const auto service = static_cast<double>(serviceTimeOf(view, options_.assumedServiceTime));
@@ -224,7 +230,8 @@
     return predictStart(view, ahead, options_.assumedServiceTime, now, shareOf(model, view));
 }
 
-auto RequestQueue::Impl::observe(ModelQueue &model, const ModelView &view, Millis now) const -> void
+auto RequestQueue::Impl::updateDrainShare(ModelQueue &model, const ModelView &view,
+                                          Millis now) const -> void
 {
     if (view.ready == 0)
         model.drain.discard(now);
@@ -251,7 +258,7 @@
     laneOf(model, classIndex).keys.insert(key);
     ++model.size;
     auto &ofClass = classes_[classIndex];
-    ofClass.patience = request.startBy - request.arrived;
+    ofClass.startTarget = request.startBy - request.arrived;
     ofClass.keys.insert(key);
     ++callers_[request.caller];
     deadlines_.insert(key);
@@ -282,11 +289,11 @@
     return classes_[classIndexOf(request.classId)].keys.size() >= options_.maxPerClass;
 }
 
-/// How many requests are dispatched before this one: those with earlier deadlines, those expected
-/// that will have earlier ones, and what the share of lanes wholly behind it takes in between; but
-/// no more than its own lane's share makes it wait.
-auto RequestQueue::Impl::placeOf(const ModelQueue &model, ClassIndex classIndex, const Key &key,
-                                 Millis now) const -> std::size_t
+/// Returns how many requests are dispatched before this one: those with earlier deadlines, expected
+/// ones that will have earlier deadlines, and those that the minimum share of lanes wholly behind
+/// it lets pass. The result is at most what the minimum share of its own lane allows.
+auto RequestQueue::Impl::positionOf(const ModelQueue &model, ClassIndex classIndex, const Key &key,
+                                    Millis now) const -> std::size_t
 {
     auto ahead = std::size_t { 0 };
     auto aheadInOwn = std::size_t { 0 };
@@ -300,7 +307,7 @@
             continue;
         }
         others += lane.keys.empty() ? 0 : 1;
-        const auto window = key.deadline - classes_[lane.classIndex].patience - now;
+        const auto window = key.deadline - classes_[lane.classIndex].startTarget - now;
         if (window > 0)
             expected += lane.admitted.perMilli(now) * static_cast<double>(window);
     }
@@ -308,36 +315,37 @@
     auto taken = std::size_t { 0 };
     for (const auto &lane : model.lanes) {
         if (lane.classIndex != classIndex && rankIn(lane.keys, key) == 0)
-            taken += std::min(lane.keys.size(), ahead / options_.patientShare);
+            taken += std::min(lane.keys.size(), ahead / options_.minShareDivisor);
     }
     if (others == 0 && expected < 1)
         return ahead;
     const auto byShare
-            = (aheadInOwn + 1) * (options_.patientShare + std::max(others, std::size_t { 1 })) - 1;
+            = (aheadInOwn + 1) * (options_.minShareDivisor + std::max(others, std::size_t { 1 }))
+            - 1;
     return std::min(ahead + taken, byShare);
 }
 
-/// A lane gives way to more urgent work as long as it keeps its share of the queue.
+/// A lane may be shed for more urgent work as long as it keeps its share of the queue.
 auto RequestQueue::Impl::isSheddable(const ModelQueue &model, const Lane &lane,
-                                     Millis patience) const -> bool
+                                     Millis startTarget) const -> bool
 {
-    const auto kept = std::max<std::size_t>(1, model.size / options_.patientShare);
-    return classes_[lane.classIndex].patience > patience && lane.keys.size() > kept;
+    const auto kept = std::max<std::size_t>(1, model.size / options_.minShareDivisor);
+    return classes_[lane.classIndex].startTarget > startTarget && lane.keys.size() > kept;
 }
 
-/// @return up to count tickets that are less urgent and ahead of the key; the least urgent
-///         class's newest first
-auto RequestQueue::Impl::victimsAhead(const ModelQueue &model, Millis patience, const Key &key,
+/// @return up to count tickets that are less urgent than startTarget and ahead of the key: the
+///         least urgent class first, and its newest first
+auto RequestQueue::Impl::victimsAhead(const ModelQueue &model, Millis startTarget, const Key &key,
                                       std::size_t count) const -> std::vector<std::uint64_t>
 {
     auto lanes = std::vector<const Lane *> {};
     for (const auto &lane : model.lanes) {
-        if (isSheddable(model, lane, patience))
+        if (isSheddable(model, lane, startTarget))
             lanes.push_back(&lane);
     }
     std::ranges::sort(lanes, std::ranges::greater {},
-                      [this](const Lane *lane) { return classes_[lane->classIndex].patience; });
-    const auto kept = std::max<std::size_t>(1, model.size / options_.patientShare);
+                      [this](const Lane *lane) { return classes_[lane->classIndex].startTarget; });
+    const auto kept = std::max<std::size_t>(1, model.size / options_.minShareDivisor);
     auto victims = std::vector<std::uint64_t> {};
     for (const auto *lane : lanes) {
         const auto spare = std::min(lane->keys.size() - kept, rankIn(lane->keys, key));
@@ -348,26 +356,26 @@
     return victims;
 }
 
-/// Finds which requests must give way for a newcomer to be served in time, as few as do.
-/// @return its lateness when it does not fit all the same, else 0 or less
-auto RequestQueue::Impl::makePlace(const QueuedRequest &request, ClassIndex classIndex,
-                                   const ModelView &view, Millis now,
-                                   std::vector<std::uint64_t> &victims) -> Millis
+/// Finds the smallest set of requests to remove so that a new request can be served in time.
+/// @return the lateness of the new request if that is not possible, otherwise 0 or less
+auto RequestQueue::Impl::findVictims(const QueuedRequest &request, ClassIndex classIndex,
+                                     const ModelView &view, Millis now,
+                                     std::vector<std::uint64_t> &victims) -> Millis
 {
     const auto &model = models_[request.model];
     const auto service = serviceTimeOf(view, options_.assumedServiceTime);
-    const auto place = placeOf(model, classIndex, keyOf(request), now);
+    const auto position = positionOf(model, classIndex, keyOf(request), now);
     const auto lateAt = [&](std::size_t ahead) {
         return lateness(request, startAt(model, view, ahead, now), service);
     };
-    const auto late = lateAt(place);
-    const auto most = std::min(options_.maxShedPerAdmit, place);
-    if (late <= 0 || lateAt(place - most) > 0)
+    const auto late = lateAt(position);
+    const auto most = std::min(options_.maxShedPerAdmit, position);
+    if (late <= 0 || lateAt(position - most) > 0)
         return late;
-    const auto patience = request.startBy - request.arrived;
-    auto candidates = victimsAhead(model, patience, keyOf(request), most);
+    const auto startTarget = request.startBy - request.arrived;
+    auto candidates = victimsAhead(model, startTarget, keyOf(request), most);
     for (auto count = std::size_t { 1 }; count <= candidates.size(); ++count) {
-        if (lateAt(place - count) > 0)
+        if (lateAt(position - count) > 0)
             continue;
         candidates.resize(count);
         victims = std::move(candidates);
@@ -377,15 +385,15 @@
 }
 
 /// @return the newest request of the least urgent class that holds more than its share of the
-///         whole queue and is less urgent than the newcomer
-auto RequestQueue::Impl::globalVictim(Millis patience) const -> std::optional<std::uint64_t>
+///         whole queue and is less urgent than the new request
+auto RequestQueue::Impl::globalVictim(Millis startTarget) const -> std::optional<std::uint64_t>
 {
-    const auto kept = std::max<std::size_t>(1, entries_.size() / options_.patientShare);
+    const auto kept = std::max<std::size_t>(1, entries_.size() / options_.minShareDivisor);
     const ClassQueue *victim = nullptr;
     for (const auto &candidate : classes_) {
-        if (candidate.patience <= patience || candidate.keys.size() <= kept)
+        if (candidate.startTarget <= startTarget || candidate.keys.size() <= kept)
             continue;
-        if (victim == nullptr || candidate.patience > victim->patience)
+        if (victim == nullptr || candidate.startTarget > victim->startTarget)
             victim = &candidate;
     }
     if (victim == nullptr)
@@ -393,22 +401,22 @@
     return victim->keys.rbegin()->ticket;
 }
 
-/// A newcomer moved all behind it back by one place: the last of a less urgent lane may now be
-/// late. recheck() finds the rarer cases in the middle of a lane.
-auto RequestQueue::Impl::pushedOut(const ModelId &modelId, const Key &newcomer, Millis patience,
-                                   const ModelView &view, Millis now) const
-        -> std::optional<std::uint64_t>
+/// The new request moved all requests behind it back by one position, so the last request of a less
+/// urgent lane may now be late. recheck() finds the rarer cases in the middle of a lane.
+auto RequestQueue::Impl::findLateAfterInsert(const ModelId &modelId, const Key &arrival,
+                                             Millis startTarget, const ModelView &view,
+                                             Millis now) const -> std::optional<std::uint64_t>
 {
     const auto &model = models_.at(modelId);
     const auto service = serviceTimeOf(view, options_.assumedServiceTime);
     for (const auto &lane : model.lanes) {
-        if (!isSheddable(model, lane, patience))
+        if (!isSheddable(model, lane, startTarget))
             continue;
         const auto last = *lane.keys.rbegin();
-        if (last < newcomer)
+        if (last < arrival)
             continue;
-        const auto place = placeOf(model, lane.classIndex, last, now);
-        const auto start = startAt(model, view, place, now);
+        const auto position = positionOf(model, lane.classIndex, last, now);
+        const auto start = startAt(model, view, position, now);
         if (lateness(entries_.at(last.ticket).request, start, service) > 0)
             return last.ticket;
     }
@@ -426,23 +434,23 @@
 auto RequestQueue::Impl::admit(const QueuedRequest &request, const ModelView &view, Millis now)
         -> Verdict
 {
-    observe(models_[request.model], view, now);
+    updateDrainShare(models_[request.model], view, now);
     if (deadlineOf(request) < now)
         return refuse(request, view, ErrorKind::DeadlineExceeded, now, now);
     if (!view.canEverLoad && view.ready == 0 && view.loading == 0)
         return refuse(request, view, ErrorKind::NoCapacity, now + options_.noCapacityRetry, now);
     if (boundReached(request))
         return refuse(request, view, ErrorKind::QueueFull, now, now);
-    const auto patience = request.startBy - request.arrived;
+    const auto startTarget = request.startBy - request.arrived;
     auto verdict = Verdict {};
-    const auto late = makePlace(request, classIndexOf(request.classId), view, now, verdict.shed);
+    const auto late = findVictims(request, classIndexOf(request.classId), view, now, verdict.shed);
     if (late > 0) {
-        const auto hopeless = late == never || late >= options_.maxRetry;
-        const auto earliest = now + (hopeless ? options_.maxRetry : late);
+        const auto outOfReach = late == never || late >= options_.maxRetry;
+        const auto earliest = now + (outOfReach ? options_.maxRetry : late);
         return refuse(request, view, ErrorKind::TargetUnreachable, earliest, now);
     }
     if (entries_.size() >= options_.maxTotal && verdict.shed.empty()) {
-        const auto victim = globalVictim(patience);
+        const auto victim = globalVictim(startTarget);
         if (!victim)
             return refuse(request, view, ErrorKind::QueueFull, now, now);
         verdict.shed.push_back(*victim);
@@ -451,7 +459,8 @@
         remove(ticket);
     insert(request);
     laneOf(models_.at(request.model), classIndexOf(request.classId)).admitted.add(now);
-    if (const auto late = pushedOut(request.model, keyOf(request), patience, view, now)) {
+    if (const auto late
+        = findLateAfterInsert(request.model, keyOf(request), startTarget, view, now)) {
         remove(*late);
         verdict.shed.push_back(*late);
     }
@@ -472,7 +481,7 @@
         const auto head = lane.keys.lower_bound(Key { now, 0 });
         if (head == lane.keys.end())
             continue;
-        const auto starves = lane.passedOver >= options_.patientShare;
+        const auto starves = lane.passedOver >= options_.minShareDivisor;
         const auto better = chosen == nullptr || (starves && !chosenStarves)
                 || (starves == chosenStarves && *head < chosenKey);
         if (!better)
@@ -501,8 +510,8 @@
     return request;
 }
 
-/// Nothing was dispatched: the shares must not count it, or a queue that only tries would seem to
-/// drain, and a lane that only was tried would seem to have been served.
+/// Nothing was dispatched, so neither share may count the pop(). Otherwise a queue whose dispatches
+/// all fail would appear to drain, and a lane whose dispatches fail would appear to be served.
 auto RequestQueue::Impl::putBack(const QueuedRequest &request) -> void
 {
     insert(request);
@@ -514,7 +523,7 @@
         lane.passedOver -= lane.passedOver > 0 ? 1 : 0;
     laneOf(model, classIndexOf(request.classId)).passedOver = record->passedOver;
     if (record->counted)
-        model.drain.onPutBack();
+        model.drain.onRequeue();
     model.lastPops.erase(record);
 }
 
@@ -531,19 +540,19 @@
     auto expired = std::vector<QueuedRequest> {};
     while (!deadlines_.empty() && deadlines_.begin()->deadline < now)
         expired.push_back(remove(deadlines_.begin()->ticket));
-    dropExpiredPromises(now);
+    pruneModels(now);
     return expired;
 }
 
-/// Forgets models without requests whose promised times have passed, once they are as many as
-/// were kept last time, so that the cost is constant a call on average.
-auto RequestQueue::Impl::dropExpiredPromises(Millis now) -> void
+/// Erases models without requests whose assigned retry times have passed. Runs only when the number
+/// of models has doubled since the last run, so the amortized cost per call is constant.
+auto RequestQueue::Impl::pruneModels(Millis now) -> void
 {
     constexpr auto leastModels = std::size_t { 64 };
     if (models_.size() < std::max(leastModels, 2 * prunedAt_))
         return;
     std::erase_if(models_, [now](const auto &item) {
-        return item.second.size == 0 && item.second.promisedUntil <= now;
+        return item.second.size == 0 && item.second.lastRetryAt <= now;
     });
     prunedAt_ = models_.size();
 }
@@ -559,7 +568,7 @@
     const auto found = models_.find(modelId);
     if (found == models_.end() || found->second.size == 0)
         return {};
-    observe(found->second, view, now);
+    updateDrainShare(found->second, view, now);
     const auto service = serviceTimeOf(view, options_.assumedServiceTime);
     auto inOrder = std::vector<std::pair<Key, std::size_t>> {};
     const auto &lanes = found->second.lanes;
@@ -578,10 +587,10 @@
         if (lateness(entries_.at(key.ticket).request, start, service) <= 0)
             continue;
         auto victim = own;
-        const auto share = std::max<std::size_t>(1, kept / options_.patientShare);
+        const auto share = std::max<std::size_t>(1, kept / options_.minShareDivisor);
         for (auto i = std::size_t { 0 }; i < lanes.size(); ++i) {
-            const auto lessUrgent = classes_[lanes[i].classIndex].patience
-                    > classes_[lanes[victim].classIndex].patience;
+            const auto lessUrgent = classes_[lanes[i].classIndex].startTarget
+                    > classes_[lanes[victim].classIndex].startTarget;
             if (lessUrgent && keptByLane[i].size() > share)
                 victim = i;
         }
@@ -602,16 +611,16 @@
     const auto nominal = static_cast<double>(slotInterval(view, options_.assumedServiceTime));
     const auto interval = static_cast<Millis>(nominal / shareOf(model, view));
     const auto limit = now + options_.maxRetry;
-    const auto promised = std::max(model.promisedUntil, earliest) + interval;
-    model.promisedUntil = std::min(promised, limit);
-    const auto retry = std::max(model.promisedUntil - now, options_.minRetry);
-    if (promised <= limit)
+    const auto retryAt = std::max(model.lastRetryAt, earliest) + interval;
+    model.lastRetryAt = std::min(retryAt, limit);
+    const auto retry = std::max(model.lastRetryAt - now, options_.minRetry);
+    if (retryAt <= limit)
         return retry;
-    return spread(retry, static_cast<std::uint64_t>(promised));
+    return spread(retry, static_cast<std::uint64_t>(retryAt));
 }
 
-/// @return when a model with no replica ready is predicted to have one; else now
-auto RequestQueue::Impl::nextPlace(const ModelId &model, const ModelView &view, Millis now)
+/// @return when a model without a ready replica is predicted to have one; `now` if it has one
+auto RequestQueue::Impl::firstSlotAt(const ModelId &model, const ModelView &view, Millis now)
         -> Millis
 {
     if (view.ready > 0)
@@ -687,7 +696,7 @@
 
 auto RequestQueue::retryAfter(const ModelId &model, const ModelView &view, Millis now) -> Millis
 {
-    return impl_->retryAfter(model, view, impl_->nextPlace(model, view, now), now);
+    return impl_->retryAfter(model, view, impl_->firstSlotAt(model, view, now), now);
 }
 
 auto RequestQueue::size() const -> std::size_t
--- a/policy/choice.cpp
+++ b/policy/choice.cpp
@@ -1,14 +1,16 @@
-// Two candidates drawn at random and, when the prompt's prefix is cached somewhere, one
-// endpoint that holds it are scored by the first-token delay they would give; the least
-// wins. So a choice costs a few look-ups at any number of runners, and routers that share
-// one stale view still spread, since each compares another pair. Two things herd all the
-// same and are kept small: a report is believed the less the older it is (loadestimate.h),
-// and a second pair is drawn only when the first holds none that can take work, since
-// passing over what looks full sends all routers to the few that do not. Only when several
-// pairs hold none is the list walked once, from a random place.
+// Power of two choices with affinity. Two candidates drawn at random and, when the prompt's
+// prefix is cached somewhere, the better of a few endpoints that hold it are scored by the
+// first-token delay they would give; the lowest score wins. So a choice costs a few look-ups at
+// any number of endpoints, and routers that share one stale view still spread, since each
+// compares another pair. Two effects could still cause herding, and both are limited:
+//   - Stale reports: a report counts for less the older it is (loadestimate.h).
+//   - Skipping replicas that look full sends all routers to the few that do not. Therefore a
+//     further pair is drawn only when the previous one has no usable candidate.
+// Only when several pairs have no usable candidate is the whole list scanned once, from a
+// random position.
 //
-// Score, ms: streams expected there x costPerStream + how much slower its first tokens
-// lately were than the model's median + prefill of the blocks it does not have cached.
+// Score, ms: expected streams x costPerStream + how much slower the replica's recent first
+// tokens were than the model's median - prefill time of the blocks it has cached.
 
 #include "policy/choice.h"
 
@@ -29,12 +31,12 @@
 
 constexpr auto maxPairs = 4;
 constexpr auto maxHoldersTried = std::size_t { 2 };
-constexpr auto maxIdleModels = std::size_t { 32 }; ///< Remembered on one endpoint.
+constexpr auto maxIdleModels = std::size_t { 32 }; ///< Stored for one endpoint.
 constexpr auto smoothing = 0.25;
-constexpr auto slownessHalfLife = 10000.0; ///< ms until half of a measured slowness is forgotten.
+constexpr auto slownessHalfLife = 10000.0; ///< ms in which a measured slowness decays by half.
 constexpr auto leastSamples = std::uint32_t { 5 };
 
-/// A running median of positive values: a step up or down a sample, in proportion.
+/// A running median of positive values: each sample moves it up or down by a proportional step.
 class RunningMedian
 {
 public:
@@ -54,7 +56,7 @@
     std::uint32_t samples_ = 0;
 };
 
-/// What is known of a model over all its replicas.
+/// State of a model, aggregated over all its replicas.
 class ModelState
 {
 public:
@@ -70,7 +72,7 @@
         others_ -= others;
         --reports_;
     }
-    /// Own streams whose ends will not be counted: their endpoint is forgotten.
+    /// Subtracts own streams whose ends will not be counted because their endpoint was forgotten.
     auto onLost(std::uint32_t streams) -> void
     {
         inFlight_ = std::max(inFlight_ - static_cast<double>(streams), 0.0);
@@ -80,7 +82,8 @@
         advance(now);
         ++inFlight_;
     }
-    /// Little's law: the time a stream takes is streams in flight over time, by ends.
+    /// By Little's law, the time of a stream is the integral of the streams in flight over time,
+    /// divided by the number of ends.
     auto onEnd(Millis now) -> void
     {
         advance(now);
@@ -115,7 +118,7 @@
         changedAt_ = std::max(changedAt_, now);
     }
 
-    std::int64_t others_ = 0;  ///< Summed over the replicas with a report.
+    std::int64_t others_ = 0;  ///< Other routers' streams, over replicas with a report.
     std::int64_t reports_ = 0; ///< Replicas with a report.
     double inFlight_ = 0;      ///< Own streams.
     double streamTime_ = 0;
@@ -147,12 +150,12 @@
     return found == endpoint.replicas.end() ? nullptr : &*found;
 }
 
-enum class Standing : std::uint8_t { Open, Trial, Slow, Unusable };
+enum class Eligibility : std::uint8_t { Usable, Trial, Slow, Unusable };
 
 struct Scored
 {
     std::size_t index = 0;
-    Standing standing = Standing::Unusable;
+    Eligibility eligibility = Eligibility::Unusable;
     double score = 0;
 };
 
@@ -196,8 +199,8 @@
     auto dropReplica(const ReplicaState &replica) -> void;
     auto expectedLoad(const ReplicaState *replica, const ReplicaInfo &candidate, Millis now)
             -> double;
-    auto standingOf(const EndpointState *endpoint, double load, std::uint32_t slots,
-                    Millis now) const -> Standing;
+    auto eligibilityOf(const EndpointState *endpoint, double load, std::uint32_t slots,
+                       Millis now) const -> Eligibility;
     auto slowness(const ReplicaState &replica, Millis now) const -> double;
     auto score(const ChoiceRequest &request, const ReplicaInfo &candidate, std::size_t cachedBlocks,
                std::uint32_t slots, Millis now) -> Scored;
@@ -221,8 +224,8 @@
     if (!added)
         return found->second;
     const auto circuit
-            = Circuit { { static_cast<std::uint32_t>(options_.breakAfterFailures),
-                          options_.breakTime, std::max<Millis>(60000, options_.breakTime) } };
+            = Circuit { { static_cast<std::uint32_t>(options_.failuresToOpen), options_.openTime,
+                          std::max<Millis>(60000, options_.openTime) } };
     auto state = EndpointState { endpoint, circuit, 0, {} };
     if (freeSlots_.empty()) {
         found->second = static_cast<Slot>(endpoints_.size());
@@ -270,8 +273,8 @@
     return replica;
 }
 
-/// Keeps the models remembered on an endpoint few: the one not touched for longest goes, unless
-/// streams of it are in flight.
+/// Limits the models stored for an endpoint: drops the least recently touched one, unless it has
+/// streams in flight.
 auto ReplicaChooser::Impl::prune(EndpointState &endpoint) -> void
 {
     if (endpoint.replicas.size() < maxIdleModels)
@@ -331,7 +334,7 @@
     case DispatchResult::Failed:
         return state->circuit.onFailure(now, random_.unit());
     case DispatchResult::Refused:
-        state->refusedUntil = now + options_.refusedTime;
+        state->refusedUntil = now + options_.refusalBackoff;
         return state->circuit.onNeutral();
     case DispatchResult::Cancelled:
         return state->circuit.onNeutral();
@@ -358,7 +361,7 @@
     if (!isSlow)
         return;
     find(endpoint)->circuit.trip(now, random_.unit());
-    replica.samples = 0; // Judged anew from what it does after its time aside.
+    replica.samples = 0; // Start over with the samples after the circuit closes.
 }
 
 auto ReplicaChooser::Impl::onFirstToken(const EndpointId &endpoint, Millis took, Millis now) -> void
@@ -405,9 +408,9 @@
     slots_.erase(found);
 }
 
-/// The streams expected on a replica, less a random part of what other routers may have sent since
-/// its report: two replicas whose difference that could hide are then drawn nearly alike, and
-/// routers with one old report do not all follow it.
+/// Returns the streams expected on a replica, less a random part of what other routers may have
+/// sent since its report. Replicas whose loads differ by less than this uncertainty are then chosen
+/// with nearly equal probability, and routers that share one old report do not all follow it.
 auto ReplicaChooser::Impl::expectedLoad(const ReplicaState *replica, const ReplicaInfo &candidate,
                                         Millis now) -> double
 {
@@ -421,24 +424,24 @@
     return std::max<double>(expected, own);
 }
 
-auto ReplicaChooser::Impl::standingOf(const EndpointState *endpoint, double load,
-                                      std::uint32_t slots, Millis now) const -> Standing
+auto ReplicaChooser::Impl::eligibilityOf(const EndpointState *endpoint, double load,
+                                         std::uint32_t slots, Millis now) const -> Eligibility
 {
     if (slots != 0 && load > slots - 0.5)
-        return Standing::Unusable;
+        return Eligibility::Unusable;
     if (endpoint == nullptr)
-        return Standing::Open;
+        return Eligibility::Usable;
     if (now < endpoint->refusedUntil)
-        return Standing::Unusable;
+        return Eligibility::Unusable;
     if (endpoint->circuit.isClosed())
-        return Standing::Open;
+        return Eligibility::Usable;
     if (endpoint->circuit.allows(now))
-        return Standing::Trial;
-    return endpoint->circuit.isTripped() ? Standing::Slow : Standing::Unusable;
+        return Eligibility::Trial;
+    return endpoint->circuit.isTripped() ? Eligibility::Slow : Eligibility::Unusable;
 }
 
-/// How much longer than the model's median its first tokens took lately, fading with time so that
-/// a replica is not shunned for ever for what it once was.
+/// Returns by how many ms the replica's recent first tokens were slower than the model's median.
+/// The value decays with time, so that a replica that was slow once is tried again.
 auto ReplicaChooser::Impl::slowness(const ReplicaState &replica, Millis now) const -> double
 {
     if (replica.sampledAt == 0)
@@ -464,7 +467,7 @@
     }
     const auto load = expectedLoad(replica, candidate, now);
     auto scored = Scored {};
-    scored.standing = standingOf(endpoint, load, slots, now);
+    scored.eligibility = eligibilityOf(endpoint, load, slots, now);
     scored.score = load * static_cast<double>(options_.costPerStream);
     scored.score
             -= static_cast<double>(cachedBlocks) * static_cast<double>(options_.prefillPerBlock);
@@ -473,7 +476,7 @@
     return scored;
 }
 
-/// The best of a few endpoints that hold the prompt's prefix.
+/// Returns the best of at most maxHoldersTried endpoints that hold the prompt's prefix.
 auto ReplicaChooser::Impl::scoreHolders(const ChoiceRequest &request,
                                         const std::vector<ReplicaInfo> &candidates,
                                         std::uint32_t slots, Millis now) -> Scored
@@ -495,14 +498,14 @@
             continue;
         auto scored = score(request, *found, match.depth, slots, now);
         scored.index = static_cast<std::size_t>(found - candidates.begin());
-        if (scored.standing == Standing::Open
-            && (best.standing == Standing::Unusable || scored.score < best.score))
+        if (scored.eligibility == Eligibility::Usable
+            && (best.eligibility == Eligibility::Unusable || scored.score < best.score))
             best = scored;
     }
     return best;
 }
 
-/// The first candidate with the best standing, from a random place on.
+/// Returns the first candidate with the best eligibility, starting at a random position.
 auto ReplicaChooser::Impl::scan(const ChoiceRequest &request,
                                 const std::vector<ReplicaInfo> &candidates, std::uint32_t slots,
                                 Millis now) -> Scored
@@ -512,11 +515,11 @@
     for (auto i = std::size_t { 0 }; i < candidates.size(); ++i) {
         const auto index = (first + i) % candidates.size();
         auto scored = score(request, candidates[index], 0, slots, now);
-        if (scored.standing >= best.standing)
+        if (scored.eligibility >= best.eligibility)
             continue;
         best = scored;
         best.index = index;
-        if (best.standing == Standing::Open)
+        if (best.eligibility == Eligibility::Usable)
             break;
     }
     return best;
@@ -535,18 +538,18 @@
         for (const auto index : { first, second }) {
             auto scored = score(request, candidates[index], 0, slots, now);
             scored.index = index;
-            if (scored.standing == Standing::Trial && request.repeatable)
-                return index; // A trial that is due is made, or its endpoint would stay aside.
-            if (scored.standing != Standing::Open)
+            if (scored.eligibility == Eligibility::Trial && request.repeatable)
+                return index; // A due trial takes precedence, or the endpoint would stay excluded.
+            if (scored.eligibility != Eligibility::Usable)
                 continue;
-            if (best.standing != Standing::Open || scored.score < best.score)
+            if (best.eligibility != Eligibility::Usable || scored.score < best.score)
                 best = scored;
         }
-        if (best.standing == Standing::Open)
+        if (best.eligibility == Eligibility::Usable)
             return best.index;
     }
     best = scan(request, candidates, slots, now);
-    if (best.standing == Standing::Unusable)
+    if (best.eligibility == Eligibility::Unusable)
         return std::nullopt;
     return best.index;
 }
--- a/policy/choice.h
+++ b/policy/choice.h
@@ -4,11 +4,11 @@
 //   chooser.onReport(endpoint, ..., now); chooser.onDispatch(endpoint, model, now); ...
 //   auto endpoint = chooser.choose(request, candidates, now);
 //
-// Load reports lag, so each is corrected by the dispatches made since it was
-// taken; two candidates drawn at random are compared, so that many routers with
-// the same view do not herd; prefix-cache affinity is worth the prefill time it
-// saves, weighed against the longer queue; an endpoint that is slow or fails is
-// put aside and tried again with single requests. Not thread-safe.
+// Load reports lag, so each is corrected by the dispatches made since it was taken. Two
+// candidates drawn at random are compared, so that many routers with the same view do not
+// herd. Prefix-cache affinity is credited with the prefill time it saves and weighed against
+// the longer queue. An endpoint that is slow or fails is excluded by a circuit breaker and
+// probed with single requests. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_CHOICE_H
 #define FIGRACK_POLICY_CHOICE_H
@@ -24,22 +24,22 @@
 
 struct ChoiceOptions
 {
-    Millis breakAfterFailures = 3;
-    Millis breakTime = 2000;    ///< First time aside; doubles to 60 s.
-    Millis prefillPerBlock = 4; ///< Prefill time that one cached prefix block saves.
-    Millis costPerStream = 20;  ///< How much one more stream on a replica delays a first token.
-    Millis refusedTime = 100;   ///< An endpoint that refused gets nothing for so long.
-    double slowFactor = 4.0;    ///< Aside when its first tokens take so many times the median.
-    Millis slowFloor = 500;     ///< Never aside for first tokens below this.
+    Millis failuresToOpen = 3;
+    Millis openTime = 2000;      ///< First time the circuit is open; doubles up to 60 s.
+    Millis prefillPerBlock = 4;  ///< Prefill time that one cached prefix block saves.
+    Millis costPerStream = 20;   ///< Delay of a first token per stream on the replica.
+    Millis refusalBackoff = 100; ///< An endpoint that refused is skipped this long.
+    double slowFactor = 4.0;     ///< Excluded when first tokens take this times the median.
+    Millis slowFloor = 500;      ///< Never excluded for first tokens faster than this.
 };
 
 /// A batch of an endpoint's prefix-cache events.
 struct CacheEvents
 {
     EndpointId endpoint;
-    std::uint64_t firstSequence = 0;  ///< Of the first event; a gap makes the view distrusted.
-                                      ///< Of a snapshot: of the next event to come. Each added
-                                      ///< and each removed block is one event.
+    std::uint64_t firstSequence = 0;  ///< Of the first event; after a gap the view is not used.
+                                      ///< For a snapshot: of the next event. Each added and
+                                      ///< each removed block is one event.
     bool snapshot = false;            ///< The added blocks are the whole cache.
     std::vector<std::uint64_t> added; ///< Hashes of prefix blocks.
     std::vector<std::uint64_t> removed;
@@ -49,7 +49,7 @@
 {
     ModelId model;
     std::vector<std::uint64_t> prefix; ///< Chained block hashes of the prompt, in order.
-    bool repeatable = true; ///< False: kept from endpoints on trial while any other can take it.
+    bool repeatable = true; ///< If false, endpoints on trial are used only as a last resort.
 };
 
 enum class DispatchResult : std::uint8_t { Finished, Refused, Failed, Cancelled };
@@ -61,32 +61,34 @@
     ~ReplicaChooser();
     ReplicaChooser(ReplicaChooser &&) noexcept;
     auto operator=(ReplicaChooser &&) noexcept -> ReplicaChooser &;
-    /// A load report taken at a time on the router's own scale (arrival less its age).
+    /// Applies a load report.
+    /// @param takenAt on the router's clock: arrival time less the age of the report
     auto onReport(const EndpointId &endpoint, const ModelId &model, std::uint32_t running,
                   std::uint32_t waiting, Millis takenAt) -> void;
     auto onDispatch(const EndpointId &endpoint, const ModelId &model, Millis now) -> void;
     /// @param took from dispatch to first token, ms
     auto onFirstToken(const EndpointId &endpoint, const ModelId &model, Millis took, Millis now)
             -> void;
-    /// The same without the model: counted only when one model alone is in flight there.
+    /// As above for an unknown model: counted only when streams of exactly one model are in
+    /// flight on the endpoint.
     auto onFirstToken(const EndpointId &endpoint, Millis took, Millis now) -> void;
     auto onEnd(const EndpointId &endpoint, const ModelId &model, DispatchResult result, Millis now)
             -> void;
     auto onCacheEvents(const CacheEvents &events, Millis now) -> void;
-    /// @return true when the endpoint's cache events have a gap: ask it for a snapshot
+    /// @return true when the endpoint's cache events have a gap and a snapshot must be requested
     auto wantsCacheSnapshot(const EndpointId &endpoint) const -> bool;
-    /// Drops all that is known of an endpoint: it left or came back as another incarnation.
-    /// Streams still in flight there may end afterwards; those ends count for nothing.
+    /// Drops all state of an endpoint that left or came back as another incarnation. Ends of
+    /// streams that are still in flight there are ignored.
     auto forget(const EndpointId &endpoint) -> void;
-    /// @param candidates replicas that are Ready on usable endpoints, in order of endpoint id
-    ///        as the tables keep them; in another order only cache affinity is lost
-    /// @param slots streams a replica runs at once; 0 when there is no such bound
-    /// @return index into candidates, or nullopt when all are aside or full
+    /// @param candidates replicas that are Ready on usable endpoints, sorted by endpoint id
+    ///        as in the tables; in another order only cache affinity is lost
+    /// @param slots streams a replica runs at once; 0 when unbounded
+    /// @return index into candidates, or nullopt when all are excluded or full
     auto choose(const ChoiceRequest &request, const std::vector<ReplicaInfo> &candidates,
                 std::uint32_t slots, Millis now) -> std::optional<std::size_t>;
-    /// @return streams estimated on a replica: report corrected by own dispatches
+    /// @return estimated streams on a replica: the report corrected by own dispatches
     auto estimatedLoad(const EndpointId &endpoint, const ModelId &model) const -> std::uint32_t;
-    /// @return streams estimated over all replicas of a model together, in constant time
+    /// @return estimated streams over all replicas of a model, in constant time
     auto estimatedLoad(const ModelId &model) const -> std::uint32_t;
 
 private:
--- a/policy/circuit.cpp
+++ b/policy/circuit.cpp
@@ -1,5 +1,5 @@
-// Results of work sent before the circuit opened still come in while it is open; they
-// say nothing new, so only those that come once it is half open change it.
+// Results of work sent before the circuit opened may still arrive while it is open. They contain
+// no new information, so only results that arrive once it is half open change its state.
 
 #include "policy/circuit.h"
 
@@ -9,26 +9,26 @@
 
 auto Circuit::allows(Millis now) const -> bool
 {
-    const auto *aside = std::get_if<CircuitOpen>(&state_);
-    return aside == nullptr || (now >= aside->until && !aside->trial);
+    const auto *openState = std::get_if<CircuitOpen>(&state_);
+    return openState == nullptr || (now >= openState->until && !openState->trial);
 }
 
 auto Circuit::isTripped() const -> bool
 {
-    const auto *aside = std::get_if<CircuitOpen>(&state_);
-    return aside != nullptr && aside->tripped;
+    const auto *openState = std::get_if<CircuitOpen>(&state_);
+    return openState != nullptr && openState->tripped;
 }
 
 auto Circuit::onDispatch(Millis now) -> void
 {
-    if (auto *aside = std::get_if<CircuitOpen>(&state_))
-        aside->trial = now >= aside->until;
+    if (auto *openState = std::get_if<CircuitOpen>(&state_))
+        openState->trial = now >= openState->until;
 }
 
 auto Circuit::onSuccess(Millis now) -> void
 {
-    auto *aside = std::get_if<CircuitOpen>(&state_);
-    if (aside == nullptr || now >= aside->until)
+    auto *openState = std::get_if<CircuitOpen>(&state_);
+    if (openState == nullptr || now >= openState->until)
         state_ = CircuitClosed {};
 }
 
@@ -39,24 +39,24 @@
             open(options_.openTime, false, now, unit);
         return;
     }
-    const auto &aside = std::get<CircuitOpen>(state_);
-    if (now >= aside.until)
-        open(std::min(2 * aside.openTime, options_.maxOpenTime), false, now, unit);
+    const auto &openState = std::get<CircuitOpen>(state_);
+    if (now >= openState.until)
+        open(std::min(2 * openState.openTime, options_.maxOpenTime), false, now, unit);
 }
 
 auto Circuit::onNeutral() -> void
 {
-    if (auto *aside = std::get_if<CircuitOpen>(&state_))
-        aside->trial = false;
+    if (auto *openState = std::get_if<CircuitOpen>(&state_))
+        openState->trial = false;
 }
 
 auto Circuit::trip(Millis now, double unit) -> void
 {
-    const auto *aside = std::get_if<CircuitOpen>(&state_);
-    if (aside == nullptr)
+    const auto *openState = std::get_if<CircuitOpen>(&state_);
+    if (openState == nullptr)
         return open(options_.openTime, true, now, unit);
-    if (now >= aside->until)
-        open(std::min(2 * aside->openTime, options_.maxOpenTime), true, now, unit);
+    if (now >= openState->until)
+        open(std::min(2 * openState->openTime, options_.maxOpenTime), true, now, unit);
 }
 
 auto Circuit::open(Millis openTime, bool tripped, Millis now, double unit) -> void
--- a/policy/demand.cpp
+++ b/policy/demand.cpp
@@ -1,8 +1,8 @@
-// Classes are served in order of their deadlines, so for each class the requests
-// up to and including it must start by its deadline. Count what the replicas there
-// are, and those on the way, can start by then; a new replica is for the rest.
-// Where the end of a load is later than the deadline it takes its place: what would
-// have been started anyway by the time a load ends is no reason for it.
+// Classes are served in order of their deadlines, so for each class the requests of all classes
+// up to and including it must start by its deadline. The replicas that are ready or being loaded
+// can start some of them by then; new replicas are needed only for the rest. If a load would end
+// after the deadline, the end of the load replaces the deadline: requests that the present
+// replicas start before a load could end do not justify that load.
 
 #include "policy/demand.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Requests a replica that is ready after some ms can start by the horizon.
+/// Returns how many requests a replica that is ready after readyAfter ms can start by the horizon.
 auto startsBy(double horizon, double readyAfter, const QueueState &queue) -> double
 {
     if (readyAfter > horizon)
--- a/policy/fleet.cpp
+++ b/policy/fleet.cpp
@@ -1,6 +1,6 @@
-// Plain ordered maps: names are short, tables small (thousands), and an order
-// that does not depend on hashing keeps decisions the same on every machine.
-// Every change of an endpoint's memory goes through unindex() and index().
+// The tables are ordered maps: keys are short, tables are small (thousands of rows), and an order
+// that does not depend on hashing keeps decisions identical on every machine. Every change of an
+// endpoint's memory is enclosed by unindex() and index().
 
 #include "policy/fleet.h"
 
@@ -96,7 +96,7 @@
     const auto models = found->second.models;
     for (const auto &model : models)
         removeReplica(model, id);
-    // Its caches went with it. Endpoints leave seldom: a walk over the models will do.
+    // Its caches are gone too. Endpoints leave rarely, so walking all models is acceptable.
     for (auto &[model, row] : models_)
         uncache(row, id);
     unindex(id, endpoints_[id]);
@@ -118,7 +118,7 @@
     countSole(*row, true);
 }
 
-/// Adds or takes away a model's only cached copy, if there is just one.
+/// Adds or subtracts the size of a model's cached copy if there is exactly one.
 auto Fleet::countSole(const ModelRow &model, bool add) -> void
 {
     if (model.cached.size() != 1)
@@ -148,7 +148,7 @@
     auto &model = models_[replica.model];
     auto &holder = endpoints_[replica.endpoint];
     if (holder.info.id.empty()) {
-        // Not announced yet: it holds replicas but takes none.
+        // Not announced yet: it holds replicas but receives none.
         holder.info.id = replica.endpoint;
         holder.info.usable = false;
     }
@@ -169,9 +169,9 @@
         setBusy({ replica.model, replica.endpoint });
     if (replica.phase == ReplicaPhase::Unloading)
         holder.releasingMb += row.memoryMb;
-    const auto onTheWay
+    const auto inFlight
             = replica.phase == ReplicaPhase::Loading || replica.phase == ReplicaPhase::InDoubt;
-    if (onTheWay && row.from == Tier::Remote)
+    if (inFlight && row.from == Tier::Remote)
         storeLoads_.insert({ replica.model, replica.endpoint });
     else
         storeLoads_.erase({ replica.model, replica.endpoint });
--- a/policy/forecast.cpp
+++ b/policy/forecast.cpp
@@ -1,9 +1,9 @@
-// The gaps of rare models are heavy-tailed: seconds within a burst, minutes
-// within a session, hours between sessions. Half octaves keep that shape in 34
-// counters. The conditional P(gap < age + span | gap > age) then does by itself
-// what a time-out approximates: after a burst it is high, and it falls once the
-// idle time has outgrown the gaps seen. One pseudo-count at infinity stands for
-// "never again", so that a model idle for longer than ever before is let go.
+// The gaps of rarely used models are heavy-tailed: seconds within a burst, minutes within a
+// session, hours between sessions. Half octaves keep that shape in 34 counters. The conditional
+// probability P(gap < age + span | gap > age) then does what a time-out only approximates: it is
+// high after a burst, and falls once the idle time exceeds the gaps seen. One pseudo-count at
+// infinity stands for "never used again", so that a model that is idle for longer than ever
+// before is unloaded.
 
 #include "policy/forecast.h"
 
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr auto gapKeep = 0.985;   ///< Decay of a model's gap counts a gap.
-constexpr auto priorWeight = 3.0; ///< Gaps that the class's histogram counts for.
+constexpr auto gapDecay = 0.985;  ///< Decay of a model's gap counts, per gap.
+constexpr auto priorWeight = 3.0; ///< Weight of the class's histogram, in gaps.
 constexpr auto neverWeight = 0.5; ///< Pseudo-count of "no further use".
-constexpr auto flatWeight = 0.05; ///< Pseudo-count of each bucket, before anything is known.
+constexpr auto flatWeight = 0.05; ///< Pseudo-count of each bucket.
 constexpr auto burstSpan = Millis { 5000 };
 constexpr auto burstPause = Millis { 60000 };
 constexpr auto burstStep = 0.2;
@@ -70,7 +70,7 @@
     if (now - burstFrom_ <= burstSpan)
         burstCount_ += count;
     if (seen_)
-        gaps_.add(gap, gapKeep);
+        gaps_.add(gap, gapDecay);
     seen_ = true;
     lastAt_ = now;
     return gap;
@@ -83,7 +83,7 @@
     const auto age = static_cast<double>(std::max<Millis>(now - lastAt_, 0));
     const auto scale = prior.total() > 0 ? priorWeight / prior.total() : 0.0;
     const auto first = bucketOf(age);
-    // Mass of each bucket past the age, the first one cut where the age stands.
+    // Mass of each bucket past the age; of the first one, only the part past the age.
     auto mass = std::array<double, gapBuckets> {};
     auto beyond = neverWeight;
     for (auto i = first; i < gapBuckets; ++i) {
@@ -96,7 +96,7 @@
     }
     auto best = 0.0;
     auto within = 0.0;
-    auto waited = 0.0; // Expected ms until the use or the end of the span, times beyond.
+    auto waited = 0.0; // Expected ms until the use or the end of the span, multiplied by beyond.
     for (auto i = first; i < gapBuckets; ++i) {
         const auto from = std::max(bounds()[i], age);
         const auto width = std::max(bounds()[i + 1] - from, 1.0);
--- a/policy/forecast.h
+++ b/policy/forecast.h
@@ -1,14 +1,13 @@
-// Prediction of a model's next use from its own history.
+// Predicts the next use of a model from its arrival history.
 //
 //   auto history = ArrivalHistory {};
 //   history.note(3, now);
 //   auto rate = history.bestRate(prior, spent, now);
 //
-// A decayed histogram of the gaps between arrivals, by half octaves from one
-// second to a day, read as a conditional: given that the model has been idle for
-// as long as it has, how likely is a use within the next span? A model with
-// little history of its own leans on the histogram of its class. Fixed size,
-// no allocation. Not thread-safe.
+// Keeps a decayed histogram of the gaps between arrivals, in half octaves from one second to a
+// day, and reads it as a conditional probability: given how long the model has been idle, how
+// likely is a use within the next span? The histogram of the model's class serves as a prior
+// for a model with little history. Fixed size, no allocation. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_FORECAST_H
 #define FIGRACK_POLICY_FORECAST_H
@@ -25,7 +24,9 @@
 class GapHistogram
 {
 public:
-    /// Adds one gap. @param keep what the counts before are multiplied with
+    /// Adds one gap.
+    /// @param gap ms
+    /// @param keep factor by which the earlier counts are multiplied
     auto add(Millis gap, double keep) -> void;
     auto total() const -> double { return total_; }
     auto count(std::size_t bucket) const -> double { return counts_[bucket]; }
@@ -40,17 +41,17 @@
 class ArrivalHistory
 {
 public:
-    /// Arrivals at a time; times never fall.
-    /// @return the gap since the arrivals before, or -1 for the first
+    /// Records arrivals; `now` must not decrease between calls.
+    /// @return the gap since the previous arrivals in ms, or -1 for the first
     auto note(std::uint32_t count, Millis now) -> Millis;
     auto seen() const -> bool { return seen_; }
     auto lastAt() const -> Millis { return lastAt_; }
     /// @return arrivals expected within a few seconds of the first after a pause
     auto burst() const -> double { return burst_; }
-    /// The best ratio, over all spans from now, of the probability of a use within the span
-    /// to the time spent waiting for it.
+    /// Computes the maximum, over all spans from now, of the ratio of the probability of a use
+    /// within the span to the time spent waiting for it.
     /// @param prior the gaps of the model's class
-    /// @param spent ms paid beforehand whatever comes: a load
+    /// @param spent ms spent in advance in any case, such as a load
     /// @return probability per ms
     auto bestRate(const GapHistogram &prior, double spent, Millis now) const -> double;
 
--- a/policy/keepwarm.cpp
+++ b/policy/keepwarm.cpp
@@ -1,7 +1,7 @@
-// The price moves by multiplicative steps (a stochastic dual ascent): each miss
-// raises it by a fixed factor, each arrival in time lowers it by the factor's
-// power that balances at the aimed share. The aim is below the allowed share,
-// because queueing, faults and store waits take their part of it too.
+// The price moves in multiplicative steps (stochastic dual ascent): each miss raises it by a
+// fixed factor, and each arrival in time lowers it by the power of that factor that balances at
+// the target share. The target share is below the allowed share, because queueing, faults and
+// waiting for the store use a part of the allowed misses too.
 
 #include "policy/keepwarm.h"
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr auto startPrice = 600000.0; ///< Ten accelerator-minutes a miss.
-constexpr auto lowestPrice = 1000.0;
-constexpr auto highestPrice = 3600000.0;
-constexpr auto aimOfAllowed = 0.5; ///< Part of the allowed misses that cold starts may use.
+constexpr auto initialPrice = 600000.0; ///< Ten accelerator-minutes per miss.
+constexpr auto minPrice = 1000.0;
+constexpr auto maxPrice = 3600000.0;
+constexpr auto coldStartFraction = 0.5; ///< Fraction of the allowed misses for cold starts.
 constexpr auto step = 0.4;
 constexpr auto shareStep = 0.01;
 constexpr auto loadSpread = 4.0; ///< Steepness of the miss probability around the target.
@@ -24,16 +24,16 @@
 
 auto MissPrice::note(bool missed, double allowed) -> void
 {
-    const auto aim = std::max(allowed * aimOfAllowed, 0.001);
-    logPrice_ += step * ((missed ? 1.0 : 0.0) - aim);
-    logPrice_ = std::clamp(logPrice_, std::log(lowestPrice / startPrice),
-                           std::log(highestPrice / startPrice));
+    const auto targetShare = std::max(allowed * coldStartFraction, 0.001);
+    logPrice_ += step * ((missed ? 1.0 : 0.0) - targetShare);
+    logPrice_ = std::clamp(logPrice_, std::log(minPrice / initialPrice),
+                           std::log(maxPrice / initialPrice));
     share_ += shareStep * ((missed ? 1.0 : 0.0) - share_);
 }
 
 auto MissPrice::value() const -> double
 {
-    return startPrice * std::exp(logPrice_);
+    return initialPrice * std::exp(logPrice_);
 }
 
 auto missProbability(Millis load, Millis startTarget) -> double
--- a/policy/keepwarm.h
+++ b/policy/keepwarm.h
@@ -1,15 +1,15 @@
-// What stays warm: the rule, and the price a class pays for a saved miss.
+// Rules for which replicas stay loaded, and the price of a missed target of a class.
 //
 //   auto price = MissPrice {};
 //   price.note(missed, allowedShare);      // for each arrival of the class
 //   auto worth = price.value() * missProbability(load, target.start);
 //
-// A class's targets say which share of its requests may miss. The price of one
-// miss, in accelerator-milliseconds, rises while the class misses more often
-// than that and falls while it misses less: it is the multiplier of the class's
-// own constraint, so that no operator sets a weight. A replica is kept while
-// the misses it is expected to save, at that price, are worth more than the
-// accelerator time it takes. The other rules are what the benchmark compares with.
+// A class's targets say which share of its requests may miss. The price of one miss, in
+// accelerator-milliseconds, rises while the class misses more often than that and falls while
+// it misses less. It is the Lagrange multiplier of the class's constraint, so operators need
+// not set a weight. A replica is kept while the misses it is expected to save, at that price,
+// are worth more than the accelerator time it takes. The other rules are baselines for the
+// benchmark.
 
 #ifndef FIGRACK_POLICY_KEEPWARM_H
 #define FIGRACK_POLICY_KEEPWARM_H
@@ -21,34 +21,35 @@
 
 namespace figrack::policy {
 
-/// The product's rule: by expected target misses saved per accelerator hour.
+/// The rule used in production: by expected target misses saved per accelerator hour.
 struct KeepByTarget
 { };
-/// Kept for a fixed time after the last use; 0 keeps nothing.
+/// Keeps a replica for a fixed time after its last use; 0 keeps nothing.
 struct KeepFixed
 {
     Millis span = 600000;
 };
-/// Kept until its memory is needed; the longest unused goes first.
+/// Keeps a replica until its memory is needed; evicts the least recently used first.
 struct KeepUntilNeeded
 { };
-/// As KeepUntilNeeded, and whatever fits is loaded without being asked for.
+/// As KeepUntilNeeded, and also loads every model that fits without waiting for a request.
 struct KeepEverything
 { };
-/// Knows the arrivals: the bound for the benchmark.
+/// Knows all future arrivals: the upper bound for the benchmark.
 struct KeepByOracle
 {
-    /// The time of a model's next arrival after now; negative when none.
+    /// Returns the time of a model's next arrival after a time; negative when there is none.
     std::function<Millis(const ModelId &, Millis)> nextUse;
 };
 using KeepRule
         = std::variant<KeepByTarget, KeepFixed, KeepUntilNeeded, KeepEverything, KeepByOracle>;
 
-/// The price of one missed target of a class, accelerator-ms.
+/// The price of one missed target of a class, in accelerator-ms.
 class MissPrice
 {
 public:
-    /// One arrival. @param allowed the share that may miss
+    /// Records one arrival.
+    /// @param allowed the share of arrivals that may miss
     auto note(bool missed, double allowed) -> void;
     auto value() const -> double;
     /// @return decayed share of arrivals that missed
@@ -59,7 +60,7 @@
     double share_ = 0;
 };
 
-/// @return probability that a load of a predicted length ends after the start target
+/// @return probability that a load of a predicted duration ends after the start target
 auto missProbability(Millis load, Millis startTarget) -> double;
 
 } // namespace figrack::policy
--- a/policy/loadestimate.cpp
+++ b/policy/loadestimate.cpp
@@ -1,6 +1,6 @@
-// A dispatch and its end that both fall after the report cancel out; an end after the
-// report of a stream that was in it takes it off. So the signed sum of changes since
-// the report is all that is needed, and streams need not be told apart.
+// A dispatch and its end that both fall after the report cancel out, and the end after the report
+// of a stream that was included in it subtracts that stream. So the signed sum of changes since
+// the report is sufficient, and streams need not be distinguished.
 
 #include "policy/loadestimate.h"
 
--- a/policy/loadestimate.h
+++ b/policy/loadestimate.h
@@ -1,17 +1,17 @@
-// The load of one replica as a router can best know it.
+// Estimates the load of one replica from delayed reports and the router's own streams.
 //
 //   estimate.onReport(running + waiting, takenAt);
 //   estimate.onDispatch(now); ... estimate.onEnd(now);
-//   estimate.corrected();                 // the report, own dispatches and ends since added
-//   estimate.expected(others, now);       // also allowing for what other routers did since
+//   estimate.corrected();                 // the report plus own dispatches and ends since
+//   estimate.expected(others, now);       // also allows for what other routers did since
 //
-// The router's own streams are known exactly. What the other routers have there is known
-// only as of the report: the report less the own streams that were in it. As those streams
-// end, and other routers send more, it drifts to the mean over the model's replicas, at the
-// rate at which streams end; expected() lets it. Without that, many routers that hold one
-// old report of an empty replica all send there.
+// The router knows its own streams exactly. It knows the streams of other routers only as of
+// the last report: the reported count less the own streams included in it. As those streams
+// end and other routers send more, their count drifts to the mean over the model's replicas,
+// at the rate at which streams end; expected() models this drift. Without it, all routers that
+// hold one old report of an empty replica would send to that replica.
 //
-// Memory is bounded: past maxChanges the oldest changes are taken as part of the report.
+// Memory is bounded: past maxChanges the oldest changes are merged into the report.
 
 #ifndef FIGRACK_POLICY_LOADESTIMATE_H
 #define FIGRACK_POLICY_LOADESTIMATE_H
@@ -23,31 +23,31 @@
 
 namespace figrack::policy {
 
-/// What other routers have on a model's replicas on average, and how fast that turns over.
+/// Mean load of other routers on a model's replicas, and how fast it turns over.
 struct OthersLoad
 {
-    double mean = 0;           ///< Streams a replica.
+    double mean = 0;           ///< Streams per replica.
     double serviceTime = 1000; ///< Usual time of a stream, ms.
 };
 
 class LoadEstimate
 {
 public:
-    /// @param count streams running and waiting, all routers' together
-    /// @param takenAt on the router's own scale; a report older than the last is ignored
+    /// @param count streams running and waiting, of all routers
+    /// @param takenAt on the router's clock; a report older than the last one is ignored
     auto onReport(std::uint32_t count, Millis takenAt) -> void;
     auto onDispatch(Millis now) -> void;
     auto onEnd(Millis now) -> void;
-    /// @return streams on the replica by the report and own dispatches and ends since, never
-    ///         below the own streams there
+    /// @return streams on the replica: the report plus own dispatches and ends since, at least
+    ///         the number of own streams there
     auto corrected() const -> std::uint32_t;
     /// @return streams expected on the replica now
     auto expected(const OthersLoad &others, Millis now) const -> double;
     /// @return streams that other routers are likely to have sent since the report
     auto unseen(const OthersLoad &others, Millis now) const -> double;
-    /// @return streams of other routers that the last report held
+    /// @return streams of other routers included in the last report
     auto othersReported() const -> std::int64_t;
-    /// @return streams that this router has there
+    /// @return this router's own streams on the replica
     auto inFlight() const -> std::uint32_t { return inFlight_; }
     auto hasReport() const -> bool { return hasReport_; }
 
@@ -65,7 +65,7 @@
     Millis takenAt_ = 0;
     std::uint32_t inFlight_ = 0;
     bool hasReport_ = false;
-    std::deque<Change> changes_; ///< After takenAt_, in order of time.
+    std::deque<Change> changes_; ///< After takenAt_, ordered by time.
 };
 
 } // namespace figrack::policy
--- a/policy/loadtime.cpp
+++ b/policy/loadtime.cpp
@@ -1,10 +1,10 @@
-// A mean for each power of two of the size; a size not seen yet is scaled from the
-// nearest one seen. One straight line through the origin will not do: loads of small
-// adapters, nearly all fixed cost, would make those of large bases look ten times as
-// long. The store's factor is kept apart and divided out of what is learned: mixing a
-// ten-fold slow-down into the means would make predictions wrong for long after the
-// store has recovered. An odd load moves its mean by a bounded step, but is never
-// ignored, so that a wrong mean cannot keep out the loads that would correct it.
+// There is a mean for each power of two of the size; a size not seen yet is scaled from the
+// nearest one seen. A single line through the origin does not fit: loads of small adapters, which
+// are nearly all fixed cost, would make those of large bases look ten times as long. The store's
+// factor is kept separately and divided out of each learned load time: mixing a ten-fold
+// slow-down into the means would make predictions wrong long after the store has recovered. An
+// outlier moves its mean by a bounded step but is never ignored, so that a wrong mean cannot
+// reject the loads that would correct it.
 
 #include "policy/loadtime.h"
 
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr auto meanStep = 0.1;        ///< Weight of the newest load in its mean.
-constexpr auto factorStep = 0.4;      ///< Weight of the newest load in the store's factor.
-constexpr auto factorFade = 120000.0; ///< ms in which an unconfirmed factor falls to 1/e.
+constexpr auto meanStep = 0.1;             ///< Weight of the newest load in its mean.
+constexpr auto factorStep = 0.4;           ///< Weight of the newest load in the store's factor.
+constexpr auto factorDecayTime = 120000.0; ///< ms in which an unconfirmed factor decays to 1/e.
 constexpr auto factorMin = 0.25;
 constexpr auto factorMax = 100.0;
-constexpr auto diskShare = 0.4;    ///< Prior of a load from disk against one from the store.
-constexpr auto memoryShare = 0.12; ///< The same from memory.
-constexpr auto mostStep = 4.0;     ///< A load counts as at most so many times its mean.
+constexpr auto diskShare = 0.4;    ///< Prior duration of a load from disk, relative to the store.
+constexpr auto memoryShare = 0.12; ///< Prior duration of a load from memory, relative to the store.
+constexpr auto maxSampleRatio = 4.0; ///< A load counts as at most this many times its mean.
 
 auto tierIndex(Tier tier) -> std::size_t
 {
@@ -59,7 +59,7 @@
     return std::min<std::size_t>(std::bit_width(memoryMb), sizes - 1);
 }
 
-/// @return ms scaled by size from the nearest size seen; 0 when none was
+/// @return ms, scaled by size from the nearest size seen; 0 when none was seen
 auto LoadTimes::fromNearest(const Means &means, std::uint64_t memoryMb) -> double
 {
     const auto own = sizeIndex(memoryMb);
@@ -100,7 +100,7 @@
         mean = { millis, size, 1 };
         return;
     }
-    millis = std::clamp(millis, expected / mostStep, expected * mostStep);
+    millis = std::clamp(millis, expected / maxSampleRatio, expected * maxSampleRatio);
     mean.millis += meanStep * (millis - mean.millis);
     mean.sizeMb += meanStep * (size - mean.sizeMb);
     mean.loads += 1;
@@ -118,7 +118,7 @@
 auto LoadTimes::storeFactor(Millis now) const -> double
 {
     const auto age = static_cast<double>(std::max<Millis>(now - factorAt_, 0));
-    return 1.0 + (factor_ - 1.0) * std::exp(-age / factorFade);
+    return 1.0 + (factor_ - 1.0) * std::exp(-age / factorDecayTime);
 }
 
 auto LoadTimes::predict(Tier tier, std::uint64_t memoryMb, Millis now) const -> Millis
--- a/policy/loadtime.h
+++ b/policy/loadtime.h
@@ -1,15 +1,15 @@
-// Learned load times: how long a load takes by the tier it reads from and its
-// size, and how slow the weight store is at present.
+// Learned load times: how long a load takes, by the tier it reads from and its size, and how
+// slow the weight store currently is.
 //
 //   auto times = LoadTimes { options };
 //   times.learn(Tier::Remote, memoryMb, took, now);
 //   times.noticeOverdue(memoryMb, runningFor, now);  // a load in flight is late
 //   auto ms = times.predict(Tier::Remote, memoryMb, now);
 //
-// Two time scales: a slow mean for each tier and size (by powers of two, since a load
-// has a fixed part that small models feel and large ones do not), and for the store a
-// fast factor on top of it that follows a slow-down within a few loads and
-// fades back to one when no load says otherwise. Not thread-safe.
+// There are two time scales. A slow mean for each tier and size follows usual load times; sizes
+// are grouped by powers of two, since the fixed part of a load matters for small models and
+// not for large ones. For the store, a fast factor on top of the mean follows a slow-down
+// within a few loads and decays back to one when no load confirms it. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_LOADTIME_H
 #define FIGRACK_POLICY_LOADTIME_H
@@ -22,7 +22,7 @@
 
 struct LoadTimeOptions
 {
-    std::uint32_t storeConcurrency = 4; ///< Loads at once at the store's full speed.
+    std::uint32_t storeConcurrency = 4; ///< Concurrent loads that the store serves at full speed.
     double storeLoadsPerSecond = 3.0;
 };
 
@@ -30,14 +30,15 @@
 {
 public:
     explicit LoadTimes(LoadTimeOptions options);
-    /// A load ended well.
+    /// Records a load that succeeded.
     /// @param took from order to ready, ms
     auto learn(Tier tier, std::uint64_t memoryMb, Millis took, Millis now) -> void;
-    /// A load from the store has run for longer than predicted and has not ended.
+    /// Records that a load from the store has run for longer than predicted and has not ended.
+    /// @param runningFor ms
     auto noticeOverdue(std::uint64_t memoryMb, Millis runningFor, Millis now) -> void;
-    /// @return ms that a load started now takes, at least 1
+    /// @return predicted duration of a load started now, at least 1 ms
     auto predict(Tier tier, std::uint64_t memoryMb, Millis now) const -> Millis;
-    /// @return present slowness of the store; 1 is its usual speed, never below 1/4
+    /// @return current slowness of the store: 1 is its usual speed, 2 half of it; never below 1/4
     auto storeFactor(Millis now) const -> double;
 
 private:
@@ -55,7 +56,7 @@
     auto usual(Tier tier, std::uint64_t memoryMb) const -> double;
 
     std::array<Means, 3> means_ {};
-    double prior_; ///< ms of a load from the store before any was seen.
+    double prior_; ///< ms of a load from the store before any was recorded.
     double factor_ = 1.0;
     Millis factorAt_ = 0;
 };
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -1,10 +1,10 @@
-// Candidates are the endpoints where the checkpoint is cached, then the tightest
-// fits from the index of free memory, a bounded number of each. Their cost in ms
-// is the predicted load, plus a penalty for a failure domain that already holds
-// the model; a load from the store goes where the fewest only copies are cached,
-// so that all caches together hold more; then to the tightest fit.
-// Eviction looks at the endpoints of the least worthy idle replicas, and takes
-// the one where making room costs least.
+// Candidates are the endpoints where the checkpoint is cached and the tightest fits from the
+// index of free memory, a bounded number of each. Candidates are ordered by a cost in ms: the
+// predicted load, plus a penalty for a failure domain that already holds the model. Ties go, for
+// a load from the store, to the endpoint that caches the smallest size of checkpoints cached
+// nowhere else, so that all caches together hold more; then to the tightest fit.
+// Eviction examines the endpoints of the idle replicas with the lowest worth and takes the one
+// where freeing enough memory costs least.
 
 #include "policy/placement.h"
 
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr auto cachedLooked = std::size_t { 24 };
-constexpr auto fitsLooked = std::size_t { 24 };
-constexpr auto idleLooked = std::size_t { 64 };
-constexpr auto evictsNothing = 1e-200;
+constexpr auto maxCachedExamined = std::size_t { 24 };
+constexpr auto maxFitsExamined = std::size_t { 24 };
+constexpr auto maxIdleExamined = std::size_t { 64 };
+constexpr auto minEvictionWorth = 1e-200;
 constexpr auto sameDomainPenalty = Millis { 1000 };
 
 auto usable(const EndpointRow *row) -> bool
@@ -27,7 +27,7 @@
     return row != nullptr && row->info.usable && !row->info.draining;
 }
 
-/// Free memory once what is being unloaded is gone; may be negative.
+/// Free memory after the replicas being unloaded are gone; may be negative.
 auto freeSoonMb(const EndpointRow &row) -> std::int64_t
 {
     return static_cast<std::int64_t>(row.info.memoryMb + row.releasingMb)
@@ -38,11 +38,12 @@
 {
     ReplicaKey key;
     std::uint64_t memoryMb = 0;
-    double worth = 0; ///< Of the whole replica.
+    double worth = 0; ///< Worth of the whole replica.
     bool isBase = false;
 };
 
-/// @return the idle replicas on an endpoint; a base only if all its adapters there are idle
+/// @return the idle replicas on an endpoint; includes a base only if all its adapters there are
+/// idle
 auto idleOn(const Fleet &fleet, const EndpointId &id, const EndpointRow &endpoint)
         -> std::vector<Victim>
 {
@@ -72,7 +73,7 @@
     return result;
 }
 
-/// Adds to the victims the adapters on the endpoint of every base among them.
+/// Returns the victims together with the adapters, on the endpoint, of each base among them.
 auto withAdapters(const Fleet &fleet, const std::vector<Victim> &chosen,
                   const std::vector<Victim> &idle) -> std::vector<Victim>
 {
@@ -91,7 +92,7 @@
     for (const auto &victim : chosen)
         if (!has(victim.key.first))
             result.push_back(victim);
-    // Adapters first: a base leaves after what stands on it.
+    // Adapters first: a base is unloaded after its adapters.
     std::stable_sort(result.begin(), result.end(),
                      [](const Victim &a, const Victim &b) { return a.isBase < b.isBase; });
     return result;
@@ -112,12 +113,12 @@
     for (const auto &[endpoint, cached] : model.cached) {
         if (fits(model, endpoint))
             result.push_back(endpoint);
-        if (result.size() >= cachedLooked)
+        if (result.size() >= maxCachedExamined)
             break;
     }
-    auto looked = std::size_t { 0 };
+    auto examined = std::size_t { 0 };
     for (auto it = fleet_.byFree().lower_bound({ model.info.memoryMb, EndpointId {} });
-         it != fleet_.byFree().end() && looked < fitsLooked; ++it, ++looked)
+         it != fleet_.byFree().end() && examined < maxFitsExamined; ++it, ++examined)
         if (!fleet_.hasOrReserved(model, it->second))
             result.push_back(it->second);
     return result;
@@ -154,9 +155,9 @@
             continue;
         const auto load = times_.predict(tier, model.info.memoryMb, now);
         const auto penalty = domains.count(row.info.domain) > 0 ? sameDomainPenalty : 0;
-        // A load from the store pushes another checkpoint out of the caches there.
-        const auto crowding = tier == Tier::Remote ? row.soleMb : 0;
-        const auto cost = Cost { load + penalty, crowding, row.freeMb(), endpoint };
+        // A load from the store displaces another checkpoint from the caches there.
+        const auto displacedMb = tier == Tier::Remote ? row.soleMb : 0;
+        const auto cost = Cost { load + penalty, displacedMb, row.freeMb(), endpoint };
         if (cost < best) {
             best = cost;
             choice = PlaceHere { endpoint, tier, load };
@@ -169,9 +170,9 @@
 {
     auto result = std::vector<EndpointId> {};
     auto seen = std::set<EndpointId> {};
-    auto looked = std::size_t { 0 };
+    auto examined = std::size_t { 0 };
     for (const auto &[worth, key] : fleet_.idle()) {
-        if (++looked > idleLooked)
+        if (++examined > maxIdleExamined)
             break;
         if (usable(fleet_.findEndpoint(key.second)) && !fleet_.hasOrReserved(model, key.second)
             && seen.insert(key.second).second)
@@ -231,14 +232,14 @@
     if (!storeOpen && std::any_of(endpoints.begin(), endpoints.end(), [&](const EndpointId &id) {
             return fits(model, id);
         }))
-        return AwaitMemory {}; // Memory is there; the store is what is waited for.
+        return AwaitMemory {}; // There is enough memory; the load waits for the store.
     for (const auto &id : evictable) {
         const auto *row = fleet_.findEndpoint(id);
         if (usable(row) && row->releasingMb > 0 && !fleet_.hasOrReserved(model, id)
             && freeSoonMb(*row) >= static_cast<std::int64_t>(model.info.memoryMb))
             return AwaitMemory { id };
     }
-    if (maxWorth <= evictsNothing)
+    if (maxWorth <= minEvictionWorth)
         return NoPlace {};
     return evict(model, evictable, maxWorth);
 }
--- a/policy/placement.h
+++ b/policy/placement.h
@@ -1,15 +1,14 @@
-// Where one more replica of a model goes.
+// Chooses the endpoint for one more replica of a model.
 //
-//   auto choice = Placer { fleet, times }.choose(model, maxWorth, now);
+//   auto choice = Placer { fleet, times }.choose(model, maxWorth, storeOpen, now);
 //   std::visit(..., choice);
 //
-// Counts memory (replicas in any phase, reservations, reports), prefers the
-// endpoint that loads soonest (checkpoint in memory, on disk, remote), then a
-// failure domain that has no replica of the model yet, then the tightest fit. An
-// adapter goes onto an endpoint where a replica of its base is ready. When no
-// memory is free, names the idle replicas whose loss costs least. Looks at the
-// endpoints that have the checkpoint and at a bounded number of others, never
-// at the whole fleet.
+// Accounts for memory (replicas in any phase, reservations, reports). Prefers the endpoint
+// that loads soonest (checkpoint in memory, on disk, remote), then a failure domain that has
+// no replica of the model yet, then the tightest fit. An adapter goes onto an endpoint where a
+// replica of its base is ready. When no memory is free, the result names the idle replicas
+// that are cheapest to evict. Examines the endpoints that have the checkpoint and a bounded
+// number of others, never the whole fleet.
 
 #ifndef FIGRACK_POLICY_PLACEMENT_H
 #define FIGRACK_POLICY_PLACEMENT_H
@@ -21,28 +20,29 @@
 
 namespace figrack::policy {
 
-/// Load it here.
+/// Load the model on this endpoint.
 struct PlaceHere
 {
     EndpointId endpoint;
     Tier from = Tier::Remote;
     Millis load = 0; ///< Predicted, ms.
 };
-/// Unload these first, adapters before their bases; the memory is then free on the endpoint.
+/// Unload these replicas first, adapters before their bases. Then the endpoint has enough memory.
 struct EvictFirst
 {
     EndpointId endpoint;
     std::vector<ReplicaKey> victims;
 };
-/// Memory is being freed on an endpoint; nothing to decide until it is.
+/// Wait: memory is being freed on an endpoint, or (with an empty endpoint) the store takes no
+/// further load.
 struct AwaitMemory
 {
     EndpointId endpoint;
 };
-/// A replica of the base has to be loaded first, or is on its way.
+/// A replica of the base must be loaded first, or is being loaded.
 struct AwaitBase
 {
-    bool onTheWay = false;
+    bool isLoading = false;
 };
 /// No usable endpoint can take it.
 struct NoPlace
@@ -56,8 +56,8 @@
         : fleet_(fleet)
         , times_(times)
     { }
-    /// @param maxWorth idle replicas worth more than this in sum are not evicted
-    /// @param storeOpen false when the store takes no further load
+    /// @param maxWorth upper bound for the total worth of the idle replicas evicted
+    /// @param storeOpen false when the store has reached its concurrency
     auto choose(const ModelRow &model, double maxWorth, bool storeOpen, Millis now) const
             -> PlaceChoice;
 
--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -1,11 +1,11 @@
-// plan() reviews the models touched since the last call and those whose review
-// time has come. A review compares the replicas wanted (demand.h) with those
-// ready and on the way, which gives a need, or else looks for replicas to let go
-// (keepwarm.h, valuation.h). Needs are then placed (placement.h) in the order in
-// which they would miss their targets: those that can still be in time first, by
-// their latest start; the rest by the length of their load, so that hopeless
-// loads do not hold up the others. What cannot be placed yet is reviewed again
-// in the next call. Reservations hold memory within one call only.
+// plan() reviews the models touched since the last call and those whose review time has come. A
+// review compares the replicas wanted (demand.h) with those ready or being loaded. If replicas
+// are missing, it records a need; otherwise it looks for replicas to unload (keepwarm.h,
+// valuation.h). Needs are then placed (placement.h) in the order in which they would miss their
+// targets: first those that can still be in time, by the latest start of the load; then the
+// rest, shortest load first, so that long loads that are late anyway do not delay the others.
+// Needs that cannot be placed yet are reviewed again in the next call. Reservations hold memory
+// within one call only.
 
 #include "policy/planner.h"
 
@@ -25,17 +25,17 @@
 
 namespace {
 
-constexpr auto serviceGuess = 5000.0; ///< ms a stream holds a slot, before any was seen.
-constexpr auto serviceGuessWeight = 3.0;
-constexpr auto serviceKeep = 0.999;           ///< Decay of Little's sums a review.
-constexpr auto peakFade = 60000.0;            ///< ms in which the peak of streams falls to 1/e.
-constexpr auto coldWindow = Millis { 10000 }; ///< A refused arrival asks for a load this long.
+constexpr auto priorServiceTime = 5000.0; ///< Prior: ms for which a stream holds a slot.
+constexpr auto priorServiceWeight = 3.0;
+constexpr auto serviceDecay = 0.999;          ///< Decay of the sums for Little's law, per review.
+constexpr auto peakDecayTime = 60000.0;       ///< ms in which the peak of streams decays to 1/e.
+constexpr auto coldWindow = Millis { 10000 }; ///< How long a refused arrival demands a load, ms.
 constexpr auto reviewWarmMin = Millis { 1000 };
 constexpr auto reviewWarmMax = Millis { 60000 };
 constexpr auto reviewColdMin = Millis { 5000 };
 constexpr auto reviewColdMax = Millis { 120000 };
-constexpr auto fitsOnly = 1e-300; ///< Worth loading, worth evicting nothing for.
-constexpr auto evictAnything = std::numeric_limits<double>::infinity();
+constexpr auto worthWithoutEviction = 1e-300; ///< Worth loading if it fits without eviction.
+constexpr auto unlimitedWorth = std::numeric_limits<double>::infinity();
 
 enum class NeedKind : std::uint8_t { Demand, Predicted };
 
@@ -45,9 +45,9 @@
     ModelId model;
     NeedKind kind = NeedKind::Demand;
     std::uint32_t count = 0;
-    Millis latestStart = 0; ///< Of the load, to be in time.
+    Millis latestStart = 0; ///< Latest start of the load that is in time.
     Millis load = 0;
-    double worth = 0; ///< What may be evicted for a predicted need.
+    double worth = 0; ///< Upper bound for the worth of evicted replicas.
 };
 
 auto needOrder(const Need &need, Millis now)
@@ -56,8 +56,8 @@
     return std::tuple { need.kind, late, late ? need.load : need.latestStart, need.model };
 }
 
-/// @return true while requests for the model wait or run at some router. An endpoint's own report
-/// comes later, so a replica that looks idle may have a dispatch on its way.
+/// @return true while requests for the model are queued or running at some router. The endpoint's
+/// own report arrives later, so a replica that looks idle may have a dispatch in flight.
 auto isInUse(const ModelRow &model) -> bool
 {
     return std::any_of(model.demand.begin(), model.demand.end(), [](const auto &entry) {
@@ -95,13 +95,13 @@
     auto reviewWaiting(const ModelId &id, ModelRow &model, Millis now) -> bool;
     auto reviewIdle(const ModelId &id, ModelRow &model, Millis now) -> void;
     auto reviewCold(const ModelId &id, ModelRow &model, Millis now) -> void;
-    auto leaveDraining(const ModelId &id, const ModelRow &model) -> void;
+    auto unloadFromDraining(const ModelId &id, const ModelRow &model) -> void;
     auto hasAdapterOn(const ModelRow &model, const EndpointId &endpoint) const -> bool;
     auto adapterDemand(const ModelRow &model) const -> bool;
     auto keepWorth(const ModelRow &model, const ReplicaRow &replica, Millis now) const -> double;
-    auto letsGo(const ModelId &id, const ModelRow &model, const ReplicaRow &replica, Millis now)
-            -> bool;
-    auto prefetches(const ModelId &id, const ModelRow &model, Millis now) const -> double;
+    auto shouldUnload(const ModelId &id, const ModelRow &model, const ReplicaRow &replica,
+                      Millis now) -> bool;
+    auto prefetchWorth(const ModelId &id, const ModelRow &model, Millis now) const -> double;
     auto storeInFlight(Millis now) const -> std::uint32_t;
     auto noticeOverdue(Millis now) -> void;
     auto place(const Need &need, Millis now) -> void;
@@ -114,7 +114,7 @@
     std::set<std::pair<Millis, ModelId>> reviews_;
     std::vector<Need> needs_;
     std::vector<Decision> decisions_;
-    std::set<ReplicaKey> decided_; ///< In the present call.
+    std::set<ReplicaKey> decided_; ///< In the current call.
     std::uint32_t storeDecided_ = 0;
 };
 
@@ -161,8 +161,8 @@
     if (model.integratedAt >= 0) {
         model.streamMillis += static_cast<double>(model.lastRunning)
                 * static_cast<double>(now - model.integratedAt);
-        model.streamMillis *= serviceKeep;
-        model.arrivals *= serviceKeep;
+        model.streamMillis *= serviceDecay;
+        model.arrivals *= serviceDecay;
     }
     model.integratedAt = now;
     auto running = std::uint32_t { 0 };
@@ -173,7 +173,7 @@
     }
     model.lastRunning = running;
     const auto age = static_cast<double>(now - model.peakAt);
-    const auto faded = model.peak * std::exp(-age / peakFade);
+    const auto faded = model.peak * std::exp(-age / peakDecayTime);
     model.peak = std::max<double>(faded, running + queued);
     model.peakAt = now;
 }
@@ -193,8 +193,8 @@
     queue.loadTime = value_.coldStart(model, now);
     queue.serviceTime = std::max<Millis>(
             1,
-            static_cast<Millis>((model.streamMillis + serviceGuess * serviceGuessWeight)
-                                / (model.arrivals + serviceGuessWeight)));
+            static_cast<Millis>((model.streamMillis + priorServiceTime * priorServiceWeight)
+                                / (model.arrivals + priorServiceWeight)));
     for (const auto &[endpoint, replica] : model.replicas) {
         const auto *holder = fleet_.findEndpoint(endpoint);
         if (!holder->info.usable || holder->info.draining)
@@ -207,7 +207,8 @@
     return queue;
 }
 
-/// Handles a model that somebody waits for. @return true when somebody does
+/// Reviews a model that has requests waiting.
+/// @return true when it has
 auto Planner::Impl::reviewWaiting(const ModelId &id, ModelRow &model, Millis now) -> bool
 {
     auto queue = queueState(model, now);
@@ -215,14 +216,14 @@
         || (model.coldArrival >= 0 && now - model.coldArrival > coldWindow + queue.loadTime))
         model.coldArrival = -1;
     if (queue.waiting.empty() && model.coldArrival >= 0)
-        queue.waiting.push_back({ 0, 1 }); // Refused: a load takes longer than its target.
+        queue.waiting.push_back({ 0, 1 }); // Refused, since a load takes longer than its target.
     if (queue.waiting.empty())
         return false;
     const auto missing = replicasMissing(queue);
     if (missing > 0)
         needs_.push_back({ id, NeedKind::Demand, missing,
                            now + queue.waiting.front().slack - queue.loadTime, queue.loadTime,
-                           evictAnything });
+                           unlimitedWorth });
     return true;
 }
 
@@ -234,7 +235,7 @@
     });
 }
 
-/// @return true when an adapter of the model waits to be loaded
+/// @return true when requests wait for an adapter of the model
 auto Planner::Impl::adapterDemand(const ModelRow &model) const -> bool
 {
     return std::any_of(model.adapters.begin(), model.adapters.end(), [&](const ModelId &id) {
@@ -247,7 +248,7 @@
     });
 }
 
-/// What keeping an idle replica is worth, per MiB: the order in which memory is taken back.
+/// Returns the worth of keeping an idle replica, per MiB. Replicas are evicted in this order.
 auto Planner::Impl::keepWorth(const ModelRow &model, const ReplicaRow &replica, Millis now) const
         -> double
 {
@@ -278,10 +279,10 @@
     return std::visit(Worth { *this, model, replica, now }, options_.keep);
 }
 
-auto Planner::Impl::letsGo(const ModelId &id, const ModelRow &model, const ReplicaRow &replica,
-                           Millis now) -> bool
+auto Planner::Impl::shouldUnload(const ModelId &id, const ModelRow &model,
+                                 const ReplicaRow &replica, Millis now) -> bool
 {
-    struct LetsGo
+    struct ShouldUnload
     {
         Impl &impl;
         const ModelId &id;
@@ -297,21 +298,21 @@
         auto operator()(const KeepEverything &) const -> bool { return false; }
         auto operator()(const KeepByOracle &rule) const -> bool
         {
-            // Idle for much longer than a load takes: cheaper to load again in time.
+            // The next use is much further away than a load takes: loading again is cheaper.
             const auto next = rule.nextUse(id, now);
             return next < 0 || next - now > 4 * impl.value_.coldStart(model, now) + 10000;
         }
     };
-    return std::visit(LetsGo { *this, id, model, replica, now }, options_.keep);
+    return std::visit(ShouldUnload { *this, id, model, replica, now }, options_.keep);
 }
 
-/// Lets go of replicas that are not worth their accelerator time.
+/// Unloads replicas that are not worth their accelerator time.
 auto Planner::Impl::reviewIdle(const ModelId &id, ModelRow &model, Millis now) -> void
 {
     const auto wanted = static_cast<std::uint32_t>(
             std::ceil(model.peak / std::max<std::uint32_t>(model.info.slots, 1) - 0.01));
     auto kept = fleet_.counts(model).ready;
-    const auto waitedFor = adapterDemand(model);
+    const auto hasAdapterDemand = adapterDemand(model);
     const auto inUse = isInUse(model);
     auto idleLeft = false;
     auto nextReview = reviewWarmMax;
@@ -322,7 +323,7 @@
         const auto *holder = fleet_.findEndpoint(endpoint);
         if (!holder->info.usable || holder->info.draining)
             continue;
-        if (waitedFor) {
+        if (hasAdapterDemand) {
             fleet_.setBusy({ id, endpoint });
             continue;
         }
@@ -331,9 +332,9 @@
             continue;
         const auto surplus = kept > std::max(wanted, 1U);
         const auto byTarget = std::holds_alternative<KeepByTarget>(options_.keep);
-        const auto goes = !model.known || (surplus && byTarget)
-                || (!inUse && letsGo(id, model, replica, now));
-        if (goes && !full()) {
+        const auto unloads = !model.known || (surplus && byTarget)
+                || (!inUse && shouldUnload(id, model, replica, now));
+        if (unloads && !full()) {
             decideUnload(id, endpoint, "idle");
             --kept;
             continue;
@@ -345,10 +346,12 @@
         setReview(id, model, now + std::clamp(nextReview, reviewWarmMin, reviewWarmMax));
 }
 
-/// @return above 0: worth loading unasked, and as much as this may be evicted for it
-auto Planner::Impl::prefetches(const ModelId &id, const ModelRow &model, Millis now) const -> double
+/// @return the worth of loading the model without a request, which also bounds the worth of what
+/// may be evicted for it; 0 when it is not worth a load
+auto Planner::Impl::prefetchWorth(const ModelId &id, const ModelRow &model, Millis now) const
+        -> double
 {
-    struct Prefetch
+    struct PrefetchWorth
     {
         const Impl &impl;
         const ModelId &id;
@@ -356,7 +359,7 @@
         Millis now;
         auto operator()(const KeepByTarget &) const -> double
         {
-            // An adapter alone is quick; what is worth prefetching is its base.
+            // An adapter alone loads quickly; only its base is worth prefetching.
             const auto *base = impl.fleet_.baseOf(model);
             if (base != nullptr && impl.fleet_.counts(*base).ready == 0)
                 return 0;
@@ -366,7 +369,7 @@
         }
         auto operator()(const KeepFixed &) const -> double { return 0; }
         auto operator()(const KeepUntilNeeded &) const -> double { return 0; }
-        auto operator()(const KeepEverything &) const -> double { return fitsOnly; }
+        auto operator()(const KeepEverything &) const -> double { return worthWithoutEviction; }
         auto operator()(const KeepByOracle &rule) const -> double
         {
             const auto next = rule.nextUse(id, now);
@@ -376,30 +379,30 @@
             return 1.0 / static_cast<double>(std::max<Millis>(next - now, 1));
         }
     };
-    return std::visit(Prefetch { *this, id, model, now }, options_.keep);
+    return std::visit(PrefetchWorth { *this, id, model, now }, options_.keep);
 }
 
 auto Planner::Impl::reviewCold(const ModelId &id, ModelRow &model, Millis now) -> void
 {
     if (!model.known)
         return;
-    const auto worth = prefetches(id, model, now);
+    const auto worth = prefetchWorth(id, model, now);
     if (worth > 0)
         needs_.push_back({ id, NeedKind::Predicted, 1, now, value_.coldStart(model, now),
                            worth * static_cast<double>(model.info.memoryMb) });
-    const auto unasked = std::holds_alternative<KeepByOracle>(options_.keep)
+    const auto withoutHistory = std::holds_alternative<KeepByOracle>(options_.keep)
             || std::holds_alternative<KeepEverything>(options_.keep);
-    if (!model.history.seen() && !unasked)
+    if (!model.history.seen() && !withoutHistory)
         return;
-    const auto age = unasked ? 0 : (now - model.history.lastAt()) / 4;
+    const auto age = withoutHistory ? 0 : (now - model.history.lastAt()) / 4;
     const auto wait = std::holds_alternative<KeepByOracle>(options_.keep)
             ? reviewWarmMin
             : std::clamp(age, reviewColdMin, reviewColdMax);
     setReview(id, model, now + wait);
 }
 
-/// Unloads idle replicas on draining endpoints once others serve in their place.
-auto Planner::Impl::leaveDraining(const ModelId &id, const ModelRow &model) -> void
+/// Unloads idle replicas on draining endpoints.
+auto Planner::Impl::unloadFromDraining(const ModelId &id, const ModelRow &model) -> void
 {
     for (const auto &[endpoint, replica] : model.replicas) {
         const auto *holder = fleet_.findEndpoint(endpoint);
@@ -417,7 +420,7 @@
     if (model == nullptr)
         return;
     integrate(*model, now);
-    leaveDraining(id, *model);
+    unloadFromDraining(id, *model);
     if (model->known && reviewWaiting(id, *model, now)) {
         for (const auto &[endpoint, replica] : model->replicas)
             fleet_.setBusy({ id, endpoint });
@@ -473,7 +476,8 @@
             { DecisionKind::Load, id, here.endpoint, here.from, now + here.load, reason });
 }
 
-/// Places one replica. @return false when nothing more can be placed for this need now
+/// Places one replica.
+/// @return false when nothing more can be placed for this need in this call
 auto Planner::Impl::placeOne(const ModelId &id, const Need &need, Millis now) -> bool
 {
     struct Act
@@ -484,7 +488,8 @@
         Millis now;
         auto operator()(const PlaceHere &here) const -> bool
         {
-            // The store is for those who wait; a guess reads what is cached or first known.
+            // Store bandwidth is reserved for waiting requests: a predicted load reads from the
+            // store only if no endpoint has the checkpoint cached.
             if (need.kind == NeedKind::Predicted && here.from == Tier::Remote
                 && !impl.fleet_.findModel(id)->cached.empty())
                 return false;
@@ -511,7 +516,7 @@
                     impl.decisions_.begin(), impl.decisions_.end(), [&](const Decision &d) {
                         return d.kind == DecisionKind::Load && d.model == base;
                     });
-            if (!await.onTheWay && !already)
+            if (!await.isLoading && !already)
                 impl.placeOne(base, need, now);
             return false;
         }
--- a/policy/planner.h
+++ b/policy/planner.h
@@ -1,29 +1,29 @@
-// Decides which model is loaded where: placement, load order, prefetch, letting go.
+// Decides which model is loaded where: placement, load order, prefetch and unloading.
 //
 //   auto planner = Planner { options };
 //   planner.setClasses(...); planner.setModel(...); planner.setEndpoint(...);
 //   planner.setReplica(...); planner.setDemand(...); planner.onArrivals(model, classId, n, now);
 //   auto decisions = planner.plan(now);
 //
-// Its caller carries each decision out or not, and tells the planner by setReplica()
-// before the next plan(): the planner holds tables, not beliefs, and decides anew
-// what it was not told of. Setters cost
-// what changed; plan() follows the models and endpoints touched since the last
-// call, not the size of the fleet. Deterministic: equal calls, equal decisions.
+// The caller carries out each decision or drops it, and reports the outcome by setReplica()
+// before the next plan(). The planner does not assume that its decisions were carried out: it
+// decides again whatever was not reported. The cost of a setter depends on what changed; the
+// cost of plan() depends on the models and endpoints touched since the last call, not on the
+// size of the fleet. Deterministic: equal calls give equal decisions.
 //
-// An adapter (ModelInfo::base names a model that was set) is loaded only onto an
-// endpoint where a replica of its base is Ready, its memoryMb counts itself only,
-// and the base stays while an adapter stands on it. An adapter whose base was
-// never set is a model on its own.
+// An adapter (ModelInfo::base names a model that was set) is loaded only onto an endpoint
+// where a replica of its base is Ready. Its memoryMb covers the adapter alone. The base stays
+// loaded while one of its adapters is on the endpoint. An adapter whose base was never set is
+// treated as a base model.
 //
-// The caller reports an endpoint anew when heldMb changes: the planner counts
-// the larger of heldMb and the replicas it was told of.
+// The caller reports an endpoint again when heldMb changes: the planner uses the larger of
+// heldMb and the memory of the replicas reported to it.
 //
-// Guarantees: a decision never makes an endpoint hold more memory than it has,
-// counting loads in flight and orders in doubt; no model is loaded twice on one
-// endpoint; no more replicas are decided than the demand at its targets needs;
-// loads in flight from the store, those in doubt until their predicted end included,
-// never pass the store's known concurrency by the planner's decisions.
+// Guarantees: a decision never makes an endpoint hold more memory than it has, counting loads
+// in flight and orders whose outcome is unknown; no model is loaded twice on one endpoint; no
+// more replicas are decided than the demand needs to meet its targets; decisions never make
+// the loads in flight from the store, including those in doubt until their predicted end,
+// exceed the store's known concurrency.
 
 #ifndef FIGRACK_POLICY_PLANNER_H
 #define FIGRACK_POLICY_PLANNER_H
@@ -39,19 +39,19 @@
 
 struct PlannerOptions
 {
-    std::uint32_t storeConcurrency = 4; ///< Loads at once at the store's full speed.
+    std::uint32_t storeConcurrency = 4; ///< Concurrent loads that the store serves at full speed.
     double storeLoadsPerSecond = 3.0;
-    std::uint32_t maxDecisions = 64; ///< A call of plan().
-    KeepRule keep = KeepByTarget {}; ///< Others are the benchmark's baselines.
+    std::uint32_t maxDecisions = 64; ///< Per call of plan().
+    KeepRule keep = KeepByTarget {}; ///< The other rules are baselines for the benchmark.
 };
 
-/// When a model could take a request, as far as the planner knows.
+/// When a model could take a request, according to the planner's tables.
 struct ModelReadiness
 {
     std::uint32_t ready = 0;   ///< Replicas on usable endpoints.
-    std::uint32_t loading = 0; ///< The same, on the way.
+    std::uint32_t loading = 0; ///< Replicas being loaded on usable endpoints.
     Millis nextReady = 0;      ///< Predicted end of the earliest load, absolute; 0 when none.
-    Millis load = 0;           ///< One more load now, that of its base included if it has none.
+    Millis load = 0;           ///< Duration of one more load, with its base if none is ready.
 };
 
 class Planner
@@ -73,14 +73,16 @@
     auto removeReplica(const ModelId &model, const EndpointId &endpoint) -> void;
     /// Replaces the demand of one model and class; queued == running == 0 removes it.
     auto setDemand(const DemandInfo &demand) -> void;
-    /// Arrivals for the history that predictions come from.
+    /// Records arrivals in the history that predictions are made from.
     auto onArrivals(const ModelId &model, const ClassId &classId, std::uint32_t count, Millis now)
             -> void;
-    /// A load ended; teaches the predicted load time a tier and the store's present speed.
+    /// Records the duration of a finished load. Updates the predicted load time of the tier and
+    /// the current speed of the store.
+    /// @param took ms
     auto onLoadDone(const ModelId &model, Tier from, Millis took, Millis now) -> void;
-    /// @return what to change now, most urgent first
+    /// @return the changes to make now, most urgent first
     auto plan(Millis now) -> std::vector<Decision>;
-    /// @return when the model could take a request; what a router's ModelView needs
+    /// @return when the model could take a request; input for a router's ModelView
     auto readinessOf(const ModelId &model, Millis now) const -> ModelReadiness;
     /// @return how long a load of the model from a tier would take now, ms
     auto predictedLoad(const ModelId &model, Tier from, Millis now) const -> Millis;
--- a/policy/prefixindex.cpp
+++ b/policy/prefixindex.cpp
@@ -1,7 +1,8 @@
-// A batch is taken only when it starts where the last one ended. One that ended before is
-// a repeat and ignored, but repeats in a row mean that the endpoint began to count anew;
-// one that overlaps cannot be split, since it does not say how adding and removing were
-// interleaved. Both, and a batch that starts too late, distrust the endpoint.
+// A batch is applied only when it starts where the last one ended. A batch that ended before that
+// is a repeat and is ignored, but several repeats in a row mean that the endpoint restarted its
+// sequence. A batch that overlaps cannot be split, since it does not tell how additions and
+// removals were interleaved. After repeats in a row, an overlap or a gap, the endpoint is
+// distrusted.
 
 #include "policy/prefixindex.h"
 
@@ -32,7 +33,7 @@
     if (cache.distrusted) {
         if (batch.first > firstEvent)
             return false;
-        cache = Cache {}; // All events from the first on: as good as a snapshot.
+        cache = Cache {}; // A batch from the first event on is equivalent to a snapshot.
     }
     const auto end = batch.first + batch.added.size() + batch.removed.size();
     if (!cache.started) {
--- a/policy/prefixindex.h
+++ b/policy/prefixindex.h
@@ -1,12 +1,13 @@
-// Which endpoints hold which prompt prefixes, from cache events that come late and with gaps.
+// Index of which endpoints hold which prompt prefixes, built from cache events that arrive late
+// and with gaps.
 //
-//   if (!index.apply(slot, batch)) ...      // a gap: distrusted until a snapshot comes
+//   if (!index.apply(slot, batch)) ...      // a gap: distrusted until a snapshot arrives
 //   auto match = index.deepest(prefix);
 //
-// An endpoint whose events have a gap is left out of every match until a snapshot: a
-// wrong match would cost a longer queue for nothing. Block hashes are chained, so the
-// deepest block known tells the whole prefix. Bounded: blocks past the bounds are not
-// kept, which only loses matches.
+// An endpoint whose events have a gap is excluded from every match until a snapshot arrives,
+// since a wrong match would cost a longer queue without any benefit. Block hashes are chained,
+// so the deepest known block identifies the whole prefix. Bounded: blocks past the bounds are
+// not stored, which only loses matches.
 
 #ifndef FIGRACK_POLICY_PREFIXINDEX_H
 #define FIGRACK_POLICY_PREFIXINDEX_H
@@ -24,13 +25,13 @@
 {
     std::size_t blocksPerEndpoint = 4096;
     std::size_t blocks = 262144; ///< Over all endpoints.
-    std::size_t holders = 32;    ///< Endpoints remembered for one block.
+    std::size_t holders = 32;    ///< Endpoints stored for one block.
 };
 
 /// Events of one endpoint's cache in order.
 struct PrefixBatch
 {
-    std::uint64_t first = 0; ///< Sequence of the first event; of a snapshot, of the next to come.
+    std::uint64_t first = 0; ///< Sequence of the first event; for a snapshot, of the next event.
     bool snapshot = false;
     std::span<const std::uint64_t> added;
     std::span<const std::uint64_t> removed;
@@ -39,7 +40,7 @@
 class PrefixIndex
 {
 public:
-    using Slot = std::uint32_t; ///< The caller's number of an endpoint.
+    using Slot = std::uint32_t; ///< The caller's number for an endpoint.
 
     struct Match
     {
@@ -54,10 +55,10 @@
     /// @return false when the endpoint is distrusted after the batch
     auto apply(Slot slot, const PrefixBatch &batch) -> bool;
     auto isDistrusted(Slot slot) const -> bool;
-    /// @return the endpoints that hold most of a prompt; valid until the next change
+    /// @return the endpoints that hold the longest prefix of a prompt; valid until the next change
     auto deepest(std::span<const std::uint64_t> prefix) const -> Match;
     auto forget(Slot slot) -> void;
-    /// @return blocks kept, over all endpoints
+    /// @return blocks stored, over all endpoints
     auto size() const -> std::size_t { return total_; }
 
 private:
--- a/policy/quarantine.cpp
+++ b/policy/quarantine.cpp
@@ -1,3 +1,6 @@
+// Each work has two rows: one under the identity of its caller and one under the identity shared
+// by all callers. Both record the same ends and completed runs, and the worse verdict applies.
+
 #include "policy/quarantine.h"
 
 #include <algorithm>
@@ -20,7 +23,7 @@
     : options_(options)
 { }
 
-auto Quarantine::Known::ends() const -> std::uint32_t
+auto Quarantine::SuspectEntry::ends() const -> std::uint32_t
 {
     return static_cast<std::uint32_t>(ended.size() - acquitted.size());
 }
@@ -28,12 +31,12 @@
 auto Quarantine::onEnd(const WorkIds &works, std::uint64_t account, const EndpointId &endpoint,
                        Millis now) -> bool
 {
-    const auto isNews = noteEnd(works.ofCaller, account, endpoint, now);
-    return noteEnd(works.ofAnyone, account, endpoint, now) || isNews;
+    const auto isNew = recordEnd(works.ofCaller, account, endpoint, now);
+    return recordEnd(works.ofAnyone, account, endpoint, now) || isNew;
 }
 
-auto Quarantine::noteEnd(const WorkId &work, std::uint64_t account, const EndpointId &endpoint,
-                         Millis now) -> bool
+auto Quarantine::recordEnd(const WorkId &work, std::uint64_t account, const EndpointId &endpoint,
+                           Millis now) -> bool
 {
     auto row = SuspectRow {};
     row.work = work;
@@ -41,21 +44,21 @@
     row.ended.push_back(endpoint);
     if (!merge(row, now))
         return false;
-    own_.insert(work);
+    localChanges_.insert(work);
     return true;
 }
 
 auto Quarantine::onCompleted(const WorkIds &works, Millis now) -> bool
 {
-    const auto clears = noteCompleted(works.ofCaller, now);
-    return noteCompleted(works.ofAnyone, now) || clears;
+    const auto clears = recordCompleted(works.ofCaller, now);
+    return recordCompleted(works.ofAnyone, now) || clears;
 }
 
-auto Quarantine::noteCompleted(const WorkId &work, Millis now) -> bool
+auto Quarantine::recordCompleted(const WorkId &work, Millis now) -> bool
 {
     while (!completions_.empty()
            && (completions_.size() >= options_.maxCompleted
-               || now - completions_.front().first >= options_.soundFor)) {
+               || now - completions_.front().first >= options_.completionTtl)) {
         const auto found = completedAt_.find(completions_.front().second);
         if (found != completedAt_.end() && found->second == completions_.front().first)
             completedAt_.erase(found);
@@ -66,49 +69,49 @@
     const auto found = rows_.find(work);
     if (found == rows_.end() || !acquit(found->second))
         return false;
-    own_.insert(work);
+    localChanges_.insert(work);
     return true;
 }
 
 auto Quarantine::merge(const SuspectRow &row, Millis now) -> bool
 {
-    const auto quiet = static_cast<Millis>(
+    const auto sinceLastEnd = static_cast<Millis>(
             std::min(row.quietMs, static_cast<std::uint64_t>(options_.longestPeriod)));
     auto found = rows_.find(row.work);
     if (found == rows_.end()) {
-        auto fresh = Known {};
+        auto fresh = SuspectEntry {};
         fresh.account = row.account;
-        fresh.lastEndAt = now - quiet;
+        fresh.lastEndAt = now - sinceLastEnd;
         makeRoom(row.account, now);
         found = rows_.emplace(row.work, std::move(fresh)).first;
         ++rowsOfAccount_[row.account];
     }
     auto &known = found->second;
     auto changed = false;
-    auto hasEnded = false;
+    auto hasNewEnds = false;
     for (const auto &endpoint : row.ended) {
         if (known.ended.size() < options_.maxEndsPerRow)
-            hasEnded = known.ended.insert(endpoint).second || hasEnded;
+            hasNewEnds = known.ended.insert(endpoint).second || hasNewEnds;
     }
-    if (hasEnded)
-        known.lastEndAt = std::max(known.lastEndAt, now - quiet);
+    if (hasNewEnds)
+        known.lastEndAt = std::max(known.lastEndAt, now - sinceLastEnd);
     for (const auto &endpoint : row.acquitted) {
         if (known.ended.contains(endpoint))
             changed = known.acquitted.insert(endpoint).second || changed;
     }
-    if (hasEnded && completedOfLate(row.work, now) && acquit(known))
-        own_.insert(row.work); // Others have not seen that run.
-    if (known.ended.empty() || isForgotten(known, now)) {
+    if (hasNewEnds && completedRecently(row.work, now) && acquit(known))
+        localChanges_.insert(row.work); // Peers do not know of that run.
+    if (known.ended.empty() || isExpired(known, now)) {
         erase(found);
         return false;
     }
-    return changed || hasEnded;
+    return changed || hasNewEnds;
 }
 
 auto Quarantine::verdict(const WorkId &work, Millis now) const -> Verdict
 {
     const auto found = rows_.find(work);
-    if (found == rows_.end() || isForgotten(found->second, now))
+    if (found == rows_.end() || isExpired(found->second, now))
         return {};
     const auto ends = found->second.ends();
     if (ends == 0)
@@ -134,14 +137,14 @@
 auto Quarantine::row(const WorkId &work, Millis now) const -> SuspectRow
 {
     const auto found = rows_.find(work);
-    return toRow(work, found == rows_.end() ? Known {} : found->second, now);
+    return toRow(work, found == rows_.end() ? SuspectEntry {} : found->second, now);
 }
 
 auto Quarantine::rows(std::uint32_t leastEnds, Millis now) const -> std::vector<SuspectRow>
 {
     auto result = std::vector<SuspectRow> {};
     for (const auto &[work, known] : rows_) {
-        if (known.ends() >= leastEnds && !isForgotten(known, now))
+        if (known.ends() >= leastEnds && !isExpired(known, now))
             result.push_back(toRow(work, known, now));
     }
     return result;
@@ -150,11 +153,11 @@
 auto Quarantine::takeLocalChanges(Millis now) -> std::vector<SuspectRow>
 {
     auto result = std::vector<SuspectRow> {};
-    for (const auto &work : own_) {
+    for (const auto &work : localChanges_) {
         if (const auto found = rows_.find(work); found != rows_.end())
             result.push_back(toRow(work, found->second, now));
     }
-    own_.clear();
+    localChanges_.clear();
     return result;
 }
 
@@ -174,29 +177,31 @@
     return std::min(result, options_.longestPeriod);
 }
 
-/// Work in quarantine is remembered for as long as its longest period: on its return after the
-/// first one it is admitted once, not three times.
-auto Quarantine::isForgotten(const Known &known, Millis now) const -> bool
+/// Quarantined work is kept for the longest period. So after its first period it is admitted once,
+/// not three times as unknown work would be.
+auto Quarantine::isExpired(const SuspectEntry &known, Millis now) const -> bool
 {
-    const auto isHeld = known.ends() >= options_.endsUntilQuarantine;
-    return now - known.lastEndAt >= (isHeld ? options_.longestPeriod : options_.forgetSuspectAfter);
+    const auto isQuarantined = known.ends() >= options_.endsUntilQuarantine;
+    return now - known.lastEndAt
+            >= (isQuarantined ? options_.longestPeriod : options_.forgetSuspectAfter);
 }
 
-auto Quarantine::completedOfLate(const WorkId &work, Millis now) const -> bool
+auto Quarantine::completedRecently(const WorkId &work, Millis now) const -> bool
 {
     const auto found = completedAt_.find(work);
-    return found != completedAt_.end() && now - found->second < options_.soundFor;
+    return found != completedAt_.end() && now - found->second < options_.completionTtl;
 }
 
-/// @return true when ends counted that do not any more
-auto Quarantine::acquit(Known &known) -> bool
+/// @return true when this clears ends that counted until now
+auto Quarantine::acquit(SuspectEntry &known) -> bool
 {
     const auto changed = known.acquitted.size() < known.ended.size();
     known.acquitted = known.ended;
     return changed;
 }
 
-/// Before a row of the account is added.
+/// Makes room for one more row of the account: erases expired rows and, if that is not enough, the
+/// row with the fewest ends, the oldest of those.
 auto Quarantine::makeRoom(std::uint64_t account, Millis now) -> void
 {
     const auto isFull = [&] { return rows_.size() >= options_.maxRows; };
@@ -206,7 +211,7 @@
     };
     if (!isFull() && !hasMany())
         return;
-    forget(now);
+    eraseExpired(now);
     if (!isFull() && !hasMany())
         return;
     const auto ofAccountOnly = hasMany();
@@ -224,10 +229,10 @@
     erase(least);
 }
 
-auto Quarantine::forget(Millis now) -> void
+auto Quarantine::eraseExpired(Millis now) -> void
 {
     for (auto item = rows_.begin(); item != rows_.end();)
-        item = isForgotten(item->second, now) ? erase(item) : std::next(item);
+        item = isExpired(item->second, now) ? erase(item) : std::next(item);
 }
 
 auto Quarantine::erase(Rows::iterator item) -> Rows::iterator
@@ -238,7 +243,7 @@
     return rows_.erase(item);
 }
 
-auto Quarantine::toRow(const WorkId &work, const Known &known, Millis now) -> SuspectRow
+auto Quarantine::toRow(const WorkId &work, const SuspectEntry &known, Millis now) -> SuspectRow
 {
     auto row = SuspectRow {};
     row.work = work;
--- a/policy/quarantine.h
+++ b/policy/quarantine.h
@@ -1,24 +1,23 @@
-// Which work may not run, since endpoint after endpoint ended while they ran it.
+// Identifies work that must not run because several endpoints ended while running it.
 //
 //   if (quarantine.verdict(works, now).standing == Standing::Quarantined) refuse();
-//   quarantine.onEnd(works, account, endpoint, now);   // the endpoint ended under it
-//   quarantine.onCompleted(works, now);                // a run of it has ended well
-//   for (row : quarantine.takeLocalChanges(now)) tell(row);    // what others do not know yet
-//   quarantine.merge(row, now);                       // what others told
+//   quarantine.onEnd(works, account, endpoint, now);         // the endpoint ended while running it
+//   quarantine.onCompleted(works, now);                      // a run of it completed
+//   for (row : quarantine.takeLocalChanges(now)) send(row);  // rows that peers do not have yet
+//   quarantine.merge(row, now);                              // a row received from a peer
 //
-// When an endpoint ends, all work in progress there is suspected alike. Sound
-// work is seldom in progress at several endpoints as they end, and completes in
-// between; work that ends what runs it never completes. So after three ends
-// without a completed run in between the work is in quarantine: refused for ten
-// minutes, then admitted once more, and refused for twice as long with each
-// further end. Work that has completed of late is not suspected: of equal
-// requests that come all the time several may be in progress where endpoints
-// end together.
+// When an endpoint ends, all work in progress there is suspected equally. Harmless work is
+// seldom in progress at several endpoints as they end, and it completes in between; work that
+// crashes the endpoint that runs it never completes. So work is quarantined after three ends
+// without a completed run in between: it is refused for ten minutes, then admitted once more,
+// and refused for twice as long after each further end. Work that has completed recently is
+// not suspected: when equal requests arrive all the time, several of them may be in progress
+// where endpoints end together.
 //
-// Rows are sets that grow, and merging is a union: tables that heard of the same
-// ends, in any order and any number of times, agree. Pure: no I/O, no clock.
-// Bounded by rows, by rows of one client account, and by ends of a row; what
-// makes room is the row with the fewest ends, of those the oldest. Not thread-safe.
+// Rows are grow-only sets and merging is a union, so tables that received the same ends, in
+// any order and any number of times, agree. Pure: no I/O, no clock. The number of rows, rows
+// per client account and ends per row are bounded; the row with the fewest ends is evicted,
+// the oldest one of those first. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_QUARANTINE_H
 #define FIGRACK_POLICY_QUARANTINE_H
@@ -38,22 +37,24 @@
 
 struct QuarantineOptions
 {
-    /// Ends after which work is refused. With two, a wave in which a quarter of a service's
-    /// endpoints end twice would refuse some sound work that was sent on from the first to the
-    /// second; with four, one more endpoint ends under work that is not sound.
+    /// Ends after which work is refused. With two, if a quarter of a service's endpoints end and
+    /// then a quarter again, some harmless work that was retried after the first wave would be
+    /// refused. With four, harmful work ends one more endpoint.
     std::uint32_t endsUntilQuarantine = 3;
-    /// First time in quarantine; as long as a release or a repair of a model takes. Doubles.
+    /// Duration of the first quarantine: about the time to release or repair a model. Doubles
+    /// with each further end.
     Millis firstPeriod = 600'000;
     Millis longestPeriod = 86'400'000;
-    /// Work that is suspected and not in quarantine is forgotten after so long without an end.
+    /// Suspected work that is not in quarantine is dropped after this time without an end.
     Millis forgetSuspectAfter = 600'000;
-    /// A run that completed says so long that the work is sound; longer than a series of ends that
-    /// have one cause, such as the loss of a rack.
-    Millis soundFor = 30'000;
+    /// Work is not suspected for this long after a completed run. Longer than a series of ends with
+    /// one common cause, such as the loss of a rack.
+    Millis completionTtl = 30'000;
     std::size_t maxRows = 4096;
     std::size_t maxRowsPerAccount = 512;
     std::size_t maxEndsPerRow = 16;
-    /// Completed work that is remembered for soundFor: 130 requests a second.
+    /// Completed runs that are kept for completionTtl; two for each request, so this
+    /// allows for 130 requests a second.
     std::size_t maxCompleted = 8192;
 };
 
@@ -69,38 +70,39 @@
 struct Verdict
 {
     Standing standing = Standing::Clear;
-    std::uint32_t ends = 0; ///< Endpoints that ended under it and count.
-    Millis releaseIn = 0;   ///< Until it is admitted once more; 0 unless it is in quarantine.
+    std::uint32_t ends = 0; ///< Endpoints that ended while running it, less those cleared.
+    Millis releaseIn = 0;   ///< Time until it is admitted once more; 0 unless quarantined.
 };
 
 class Quarantine
 {
 public:
     explicit Quarantine(QuarantineOptions options);
-    /// An endpoint ended while the work was in progress there. @param account hash of its caller
-    /// @return true when that was not known
+    /// Records that an endpoint ended while the work was in progress there.
+    /// @param account hash of the work's client account
+    /// @return true when this end was not known
     auto onEnd(const catalogue::WorkIds &works, std::uint64_t account, const EndpointId &endpoint,
                Millis now) -> bool;
-    /// A run of the work has come to its end, and the endpoint lives on.
-    /// @return true when that clears ends which counted
+    /// Records that a run of the work completed and its endpoint survived.
+    /// @return true when this clears ends that counted until now
     auto onCompleted(const catalogue::WorkIds &works, Millis now) -> bool;
-    /// Takes over what another table knows. @return true when it says something new
+    /// Merges a row of another table. @return true when the row contained something new
     auto merge(const catalogue::SuspectRow &row, Millis now) -> bool;
     auto verdict(const catalogue::WorkId &work, Millis now) const -> Verdict;
-    /// @return the worse one of the two ways to know the work
+    /// @return the worse verdict of the two identities of the work
     auto verdict(const catalogue::WorkIds &works, Millis now) const -> Verdict;
-    /// @return the row as it stands now; empty lists when nothing is known of the work
+    /// @return the current row; its lists are empty when the work is unknown
     auto row(const catalogue::WorkId &work, Millis now) const -> catalogue::SuspectRow;
-    /// @return the rows with so many ends that count, or more
+    /// @return the rows with at least leastEnds ends that count
     auto rows(std::uint32_t leastEnds, Millis now) const -> std::vector<catalogue::SuspectRow>;
-    /// @return the rows that changed here since the last call, but for what merge() took over
+    /// @return the rows changed since the last call, except by merge() of a peer's row
     auto takeLocalChanges(Millis now) -> std::vector<catalogue::SuspectRow>;
     auto size() const -> std::size_t { return rows_.size(); }
-    /// @return rows of work in quarantine
+    /// @return the number of rows in quarantine
     auto quarantined(Millis now) const -> std::size_t;
 
 private:
-    struct Known
+    struct SuspectEntry
     {
         std::uint64_t account = 0;
         std::set<EndpointId> ended;
@@ -108,26 +110,27 @@
         Millis lastEndAt = 0;
         auto ends() const -> std::uint32_t;
     };
-    using Rows = std::map<catalogue::WorkId, Known>;
+    using Rows = std::map<catalogue::WorkId, SuspectEntry>;
 
-    auto noteEnd(const catalogue::WorkId &work, std::uint64_t account, const EndpointId &endpoint,
-                 Millis now) -> bool;
-    auto noteCompleted(const catalogue::WorkId &work, Millis now) -> bool;
+    auto recordEnd(const catalogue::WorkId &work, std::uint64_t account, const EndpointId &endpoint,
+                   Millis now) -> bool;
+    auto recordCompleted(const catalogue::WorkId &work, Millis now) -> bool;
     auto period(std::uint32_t ends) const -> Millis;
-    auto isForgotten(const Known &known, Millis now) const -> bool;
-    auto completedOfLate(const catalogue::WorkId &work, Millis now) const -> bool;
-    static auto acquit(Known &known) -> bool;
+    auto isExpired(const SuspectEntry &known, Millis now) const -> bool;
+    auto completedRecently(const catalogue::WorkId &work, Millis now) const -> bool;
+    static auto acquit(SuspectEntry &known) -> bool;
     auto makeRoom(std::uint64_t account, Millis now) -> void;
-    auto forget(Millis now) -> void;
+    auto eraseExpired(Millis now) -> void;
     auto erase(Rows::iterator item) -> Rows::iterator;
-    static auto toRow(const catalogue::WorkId &work, const Known &known, Millis now)
+    static auto toRow(const catalogue::WorkId &work, const SuspectEntry &known, Millis now)
             -> catalogue::SuspectRow;
 
     QuarantineOptions options_;
     Rows rows_;
     std::map<std::uint64_t, std::size_t> rowsOfAccount_;
-    std::set<catalogue::WorkId> own_;                           ///< For takeLocalChanges().
-    std::unordered_map<catalogue::WorkId, Millis> completedAt_; ///< The latest run.
+    std::set<catalogue::WorkId> localChanges_; ///< For takeLocalChanges().
+    std::unordered_map<catalogue::WorkId, Millis>
+            completedAt_; ///< Time of the latest completed run.
     std::deque<std::pair<Millis, catalogue::WorkId>> completions_;
 };
 
--- a/policy/ratelimiter.cpp
+++ b/policy/ratelimiter.cpp
@@ -1,3 +1,6 @@
+// The bucket is filled lazily: tokens_ is the level at refilledAt_, and each change of the rate or
+// of the level brings both up to date first.
+
 #include "policy/ratelimiter.h"
 
 #include <algorithm>
@@ -13,10 +16,10 @@
     heardAt_ = heardAt;
     const auto wasLimited = isLimited();
     refill(now);
-    named_ = perSecond;
+    advertised_ = perSecond;
     if (isLimited() && !wasLimited) {
         tokens_ = options_.initialTokens;
-        lastReturn_ = now;
+        lastAssigned_ = now;
     }
 }
 
@@ -28,7 +31,7 @@
 
 auto RateLimiter::perSecond() const -> double
 {
-    return std::max(named_.value_or(0), options_.leastPerSecond) * options_.part;
+    return std::max(advertised_.value_or(0), options_.minPerSecond) * options_.part;
 }
 
 auto RateLimiter::capacity() const -> double
@@ -66,14 +69,14 @@
         return now;
     const auto lacking = std::max(0.0, 1 - tokens(now));
     const auto soonest = now + fromSeconds(lacking / perSecond());
-    const auto next = std::max(soonest, lastReturn_ + fromSeconds(1 / perSecond()));
-    return std::min(next, now + options_.latestReturn);
+    const auto next = std::max(soonest, lastAssigned_ + fromSeconds(1 / perSecond()));
+    return std::min(next, now + options_.maxRetryAfter);
 }
 
 auto RateLimiter::assignRetryAfter(Instant now) -> Duration
 {
-    lastReturn_ = nextAt(now);
-    return lastReturn_ - now;
+    lastAssigned_ = nextAt(now);
+    return lastAssigned_ - now;
 }
 
 } // namespace figrack::policy
--- a/policy/ratelimiter.h
+++ b/policy/ratelimiter.h
@@ -1,16 +1,17 @@
-// Keeps what is sent to one endpoint to the rate that the endpoint names.
+// Limits what is sent to one endpoint to the rate that the endpoint advertises.
 //
 //   auto limiter = RateLimiter { options };
 //   limiter.onAdvertisedRate(perSecond, heardAt, now);
-//   if (limiter.allows(now)) { limiter.take(now); send(); } else
-//   refuse(limiter.assignRetryAfter(now));
+//   if (limiter.allows(now)) { limiter.take(now); send(); }
+//   else refuse(limiter.assignRetryAfter(now));
 //
-// The load that it answers: an overloaded endpoint that takes some requests a second from
-// all gateways together, while callers ask for more. Tokens come evenly, and few are kept: what it
-// was not sent before it cannot serve at once later.
+// Expected load: an overloaded endpoint takes some requests a second from all gateways
+// together, while callers ask for more. This is a token bucket that fills evenly and holds few
+// tokens: an endpoint that received less than its rate cannot serve the difference at once
+// later.
 //
-// Who hears of a rate, and in which order, differs from sender to sender: the latest word
-// counts, by when it was heard. Pure: no I/O, no clock. Not thread-safe.
+// Senders learn of rates at different times and in different orders, so the rate with the
+// latest heardAt applies. Pure: no I/O, no clock. Not thread-safe.
 
 #ifndef FIGRACK_POLICY_RATELIMITER_H
 #define FIGRACK_POLICY_RATELIMITER_H
@@ -23,17 +24,17 @@
 
 struct RateLimiterOptions
 {
-    /// Of the named rate, for a sender that must leave the rest to others.
+    /// Fraction of the advertised rate that this sender may use; the rest is for other senders.
     double part = 1;
-    /// Requests that may be sent at once: what comes in so long, and one at least.
+    /// Bucket capacity: the requests that the rate allows in this time, and at least one.
     Duration burst = std::chrono::milliseconds { 500 };
-    /// An endpoint that names less is sent so much all the same: only an answer tells that it takes
-    /// more again.
-    double leastPerSecond = 0.1;
-    /// When an endpoint first names a rate; below zero the first request waits longer.
+    /// Minimum rate, in requests a second. It applies even if the endpoint advertises less, since
+    /// only a response can show that the endpoint accepts more again.
+    double minPerSecond = 0.1;
+    /// Tokens when an endpoint first advertises a rate; negative to delay the first request.
     double initialTokens = 1;
-    /// Nobody is told to come back later: a replica elsewhere takes about as long.
-    Duration latestReturn = std::chrono::seconds { 4 };
+    /// Longest retry time returned: loading a replica elsewhere takes about as long.
+    Duration maxRetryAfter = std::chrono::seconds { 4 };
 };
 
 class RateLimiter
@@ -42,20 +43,23 @@
     explicit RateLimiter(const RateLimiterOptions &options = {})
         : options_(options)
     { }
-    /// @param perSecond requests a second; absent: any number @param heardAt when it was named
+    /// Sets the advertised rate, unless a later one is already set.
+    /// @param perSecond requests a second; nullopt: unlimited
+    /// @param heardAt when the endpoint advertised it
     auto onAdvertisedRate(std::optional<double> perSecond, Instant heardAt, Instant now) -> void;
-    /// Changes the part of the named rate that this sender may use. @param part above 0
+    /// Changes the fraction of the advertised rate that this sender may use.
+    /// @param part above 0
     auto setPart(double part, Instant now) -> void;
-    auto isLimited() const -> bool { return named_.has_value(); }
+    auto isLimited() const -> bool { return advertised_.has_value(); }
     /// @return true when a request may be sent
     auto allows(Instant now) const -> bool;
-    /// A request is sent.
+    /// Takes a token for a request that is sent.
     auto take(Instant now) -> void;
-    /// @return when a request may be sent that may not be sent now, behind those that were told
-    /// before; now, without a limit
+    /// @return when a request that is refused now may be sent, after those that were assigned a
+    /// time before; `now` when there is no limit
     auto nextAt(Instant now) const -> Instant;
-    /// A request is told to come back.
-    /// @return how long after now
+    /// Assigns a retry time to a refused request.
+    /// @return time from now
     auto assignRetryAfter(Instant now) -> Duration;
 
 private:
@@ -65,11 +69,11 @@
     auto refill(Instant now) -> void;
 
     RateLimiterOptions options_;
-    std::optional<double> named_; ///< Requests a second; absent: no limit.
+    std::optional<double> advertised_; ///< Requests a second; nullopt: no limit.
     Instant heardAt_ {};
     double tokens_ = 0; ///< At refilledAt_.
     Instant refilledAt_ {};
-    Instant lastReturn_ {}; ///< Of those that were told when to come back.
+    Instant lastAssigned_ {}; ///< Latest retry time assigned.
 };
 
 } // namespace figrack::policy
--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -1,6 +1,6 @@
-// The delay is drawn uniformly from nothing to its bound ("full jitter"): of the usual ways
-// it spreads a burst widest for the same longest wait. A delay that would end past the last
-// useful start means no retry, and takes no token.
+// The delay is drawn uniformly from zero to its bound ("full jitter"): of the usual methods it
+// spreads a burst widest for the same maximum delay. If the delay would end past the last useful
+// start, there is no retry and no token is taken.
 
 #include "policy/retry.h"
 
--- a/policy/tables.h
+++ b/policy/tables.h
@@ -1,9 +1,9 @@
-// The plain tables that every decision is made from.
+// The tables that every policy decision is based on.
 //
-// The control process fills them from the replicated state and the routers'
-// reports, the router from its copy, the benchmark from its model of a fleet;
-// policy code sees no difference. No I/O, no clock: each call is given `now`.
-// Times are milliseconds on any one monotonic scale; sizes are MiB.
+// The control process fills them from the replicated state and the routers' reports, the
+// router from its copy, and the benchmark from its simulated fleet; policy code does not
+// distinguish these sources. No I/O, no clock: `now` is passed to each call. Times are
+// milliseconds on any one monotonic scale; sizes are MiB.
 
 #ifndef FIGRACK_POLICY_TABLES_H
 #define FIGRACK_POLICY_TABLES_H
@@ -28,9 +28,9 @@
 struct ClassTarget
 {
     ClassId id;
-    Millis start = 2000;   ///< Request to first token.
-    Millis finish = 30000; ///< Request to last token.
-    double share = 0.95;   ///< Of requests that must meet both.
+    Millis start = 2000;   ///< From request to first token.
+    Millis finish = 30000; ///< From request to last token.
+    double share = 0.95;   ///< Share of requests that must meet both targets.
 };
 
 struct ModelInfo
@@ -38,8 +38,8 @@
     ModelId id;
     std::string version;
     ModelId base;               ///< Empty for a base model.
-    std::uint64_t memoryMb = 0; ///< A replica's weights and KV room.
-    std::uint32_t slots = 8;    ///< Streams at once at full speed.
+    std::uint64_t memoryMb = 0; ///< Weights and KV cache of a replica.
+    std::uint32_t slots = 8;    ///< Concurrent streams at full speed.
 };
 
 enum class Tier : std::uint8_t { Remote, Disk, Memory };
@@ -49,7 +49,7 @@
     EndpointId id;
     DomainId domain;
     std::uint64_t memoryMb = 0;
-    std::uint64_t heldMb = 0; ///< Replicas, loads in flight and orders in doubt.
+    std::uint64_t heldMb = 0; ///< Memory of replicas, loads in flight and orders in doubt.
     std::uint32_t accelerators = 0;
     bool usable = true; ///< Neither draining nor suspected.
     bool draining = false;
@@ -62,13 +62,13 @@
     ModelId model;
     EndpointId endpoint;
     ReplicaPhase phase = ReplicaPhase::Loading;
-    Millis readyAt = 0;   ///< Predicted while Loading.
+    Millis readyAt = 0;   ///< Predicted time while Loading.
     Millis idleSince = 0; ///< Last time a request ran on it.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
 };
 
-/// Requests of one class that wait for one model, over all routers.
+/// Demand of one class for one model, over all routers.
 struct DemandInfo
 {
     ModelId model;
--- a/policy/testing/herding.h
+++ b/policy/testing/herding.h
@@ -1,9 +1,9 @@
-// Many routers that share one stale view of the same replicas, in virtual time.
+// Simulates many routers that share one stale view of the same replicas, in virtual time.
 //
 //   auto result = runHerding({ .routers = 50, .lag = 1000 }, ChoiceKind::Chooser, seed);
 //
-// Every replica reports its load at a fixed period; the report reaches all routers after a
-// lag. A request that finds all slots of its replica taken waits there. For tests and the
+// Every replica reports its load at a fixed period, and each report reaches all routers after a
+// lag. A request that finds all slots of its replica in use waits there. For tests and the
 // benchmark.
 
 #ifndef FIGRACK_POLICY_TESTING_HERDING_H
@@ -38,19 +38,19 @@
     std::uint32_t slots = 8;
     double load = 0.8; ///< Arrivals over capacity.
     Millis service = 1000;
-    Millis period = 1000; ///< Between two reports of a replica.
-    Millis lag = 1000;    ///< From a report being taken to routers having it.
+    Millis period = 1000; ///< Time between two reports of a replica, ms.
+    Millis lag = 1000;    ///< Time from taking a report to its arrival at routers, ms.
     Millis duration = 60000;
 };
 
 struct HerdingResult
 {
     std::uint64_t served = 0;
-    std::uint64_t waited = 0; ///< Found no slot free where they were sent.
-    std::uint64_t held = 0;   ///< The router held them back for a while: all seemed full.
-    Millis waitP99 = 0;       ///< Held and waited together.
+    std::uint64_t waited = 0; ///< Requests sent to a replica without a free slot.
+    std::uint64_t held = 0;   ///< Requests held at the router since all replicas looked full.
+    Millis waitP99 = 0;       ///< Time held plus time waited, ms.
     Millis waitMax = 0;
-    std::size_t longestQueue = 0; ///< Waiting on one replica.
+    std::size_t longestQueue = 0; ///< Most requests waiting on one replica.
 };
 
 class HerdingRun
@@ -95,14 +95,14 @@
     }
 
 private:
-    enum class Kind : std::uint8_t { Arrival, Report, Heard, End, Retry };
+    enum class Kind : std::uint8_t { Arrival, Report, ReportDelivered, End, Retry };
     struct Event
     {
         Millis at = 0;
         std::uint64_t sequence = 0;
         Kind kind = Kind::Arrival;
         std::size_t replica = 0;
-        std::size_t router = 0; ///< Of Heard: the load reported.
+        std::size_t router = 0; ///< For Heard: the load reported.
         Millis takenAt = 0;
         auto operator<(const Event &other) const -> bool
         {
@@ -151,8 +151,8 @@
             return retry(event.router);
         case Kind::Report:
             return report(event.replica);
-        case Kind::Heard:
-            return hear(event);
+        case Kind::ReportDelivered:
+            return deliverReport(event);
         case Kind::End:
             return end(event.replica, event.router);
         }
@@ -162,12 +162,12 @@
     {
         const auto &state = replicas_[replica];
         const auto load = state.running + state.waiting.size();
-        push(now_ + options_.lag, Kind::Heard, replica, load, now_);
+        push(now_ + options_.lag, Kind::ReportDelivered, replica, load, now_);
         if (now_ < options_.duration || result_.served < arrived_)
             push(now_ + options_.period, Kind::Report, replica, 0);
     }
 
-    auto hear(const Event &event) -> void
+    auto deliverReport(const Event &event) -> void
     {
         reported_[event.replica] = static_cast<std::uint32_t>(event.router);
         for (auto &own : own_)
--- a/policy/testing/overload.h
+++ b/policy/testing/overload.h
@@ -1,9 +1,9 @@
-// A discrete-event run of one model behind the admission queue, in virtual time.
+// Discrete-event simulation of one model behind the admission queue, in virtual time.
 //
 //   auto result = runOverload({ .load = 4.0 }, seed);
 //
 // Requests of three classes arrive at random at a multiple of what the model's slots can
-// serve; a refused caller may come back when it was told to. For tests and the benchmark.
+// serve. A refused caller may retry at the time it was given. For tests and the benchmark.
 
 #ifndef FIGRACK_POLICY_TESTING_OVERLOAD_H
 #define FIGRACK_POLICY_TESTING_OVERLOAD_H
@@ -29,7 +29,7 @@
     const char *name;
     Millis start;
     Millis finish;
-    double part; ///< Of the arrivals.
+    double part; ///< Share of the arrivals.
 };
 
 constexpr auto workClasses = std::array<WorkClass, 3> { {
@@ -49,22 +49,22 @@
     double load = 1.0; ///< Arrivals over capacity.
     QueueKind kind = QueueKind::Admission;
     std::uint32_t slots = 32;
-    Millis service = 1000; ///< Mean; each takes half to one and a half of it.
+    Millis service = 1000; ///< Mean, ms; each request takes 0.5 to 1.5 times this.
     Millis duration = 300000;
-    std::size_t routers = 1; ///< They share the slots; each sees its own queue only.
-    int returns = 2;         ///< How often a refused caller comes back when told to.
+    std::size_t routers = 1; ///< Share the slots; each sees only its own queue.
+    int returns = 2;         ///< How often a refused caller retries.
     QueueOptions queue {};
 };
 
 struct ClassResult
 {
-    std::uint64_t offered = 0; ///< Callers, not their returns.
+    std::uint64_t offered = 0; ///< Callers, without retries.
     std::uint64_t served = 0;  ///< Started within the target.
     std::uint64_t late = 0;    ///< Started after it.
     std::uint64_t refusals = 0;
     std::uint64_t returned = 0;
     std::uint64_t returnedServed = 0;
-    std::uint64_t heldMs = 0; ///< Summed over refused: from arrival to refusal.
+    std::uint64_t heldMs = 0; ///< Sum of the times from arrival to refusal.
     Millis longestHeld = 0;
 };
 
@@ -257,7 +257,7 @@
 
     auto next() -> std::optional<QueuedRequest>
     {
-        // Which router gets the slot is chance: the first to hear of it.
+        // A random router gets the slot: the first to learn of it.
         const auto first = random_.below(queues_.size());
         for (auto i = std::size_t { 0 }; i < queues_.size(); ++i) {
             if (auto request = queues_[(first + i) % queues_.size()].pop(model_, now_))
--- a/policy/testing/tst_accountlimits.cpp
+++ b/policy/testing/tst_accountlimits.cpp
@@ -1,5 +1,5 @@
-// Buckets of accounts, step by step; what callers get of them under load is played by
-// gateway/testing/tst_accountlimits.cpp.
+// Tests the token buckets of accounts step by step. gateway/testing/tst_accountlimits.cpp simulates
+// what callers get of them under load.
 
 #include <doctest/doctest.h>
 
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// 1,000 units a second and 1,000 at once: 9,000 in any window of 8 s, and 900 beyond.
+/// 1,000 units a second and a burst of 1,000: 9,000 in any window of 8 s, and a tolerance of 900.
 constexpr auto limit = catalogue::RateLimit { 1000, 1000 };
 constexpr auto later = policy::Millis { 100'000 };
-/// What comes in evenly of a window, and what a full bucket holds.
+/// Fill rate of the bucket, and its capacity.
 constexpr auto perSecond = 1125;
 constexpr auto held = 630;
 
-/// Each request is other work, where a test does not say otherwise.
+/// Each request is different work unless a test says otherwise.
 auto work = std::uint64_t { 0 };
 
 auto chargeOf(std::uint64_t cost) -> catalogue::AccountCharge
@@ -28,7 +28,7 @@
 
 auto roomOf(const policy::AccountLimits &limits, policy::Millis now) -> double
 {
-    return limits.standings(1, now).at(0).room;
+    return limits.accountStatuses(1, now).at(0).room;
 }
 
 } // namespace
@@ -39,7 +39,7 @@
     auto admitted = std::vector<int> {};
     for (auto second = 0; second < 16; ++second) {
         auto count = 0;
-        // Nobody comes back: room that is kept for them is not lost to the others.
+        // No caller returns: the room reserved for them is not lost to the others.
         for (auto i = 0; i < 100; ++i)
             count += limits.admit(chargeOf(50), ++work, later + second * 1000 + i * 10) ? 0 : 50;
         admitted.push_back(count);
@@ -51,24 +51,23 @@
     }
 }
 
-TEST_CASE(
-        "A refused caller is told when there is room, each later than the one before, and finds it")
+TEST_CASE("A refused caller gets a retry time, each later than the one before, and has room then")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(held), 1, later).has_value());
     CHECK(limits.admit(chargeOf(450), 2, later) == 400);
     CHECK(limits.admit(chargeOf(450), 3, later) == 800);
     CHECK(limits.roomIn(chargeOf(450), 4, later) == 1200);
-    // Who comes first by chance does not take the place of who was told to come.
+    // A request that happens to arrive first does not take the room reserved for another.
     CHECK(limits.admit(chargeOf(450), 5, later + 410).has_value());
     CHECK_FALSE(limits.admit(chargeOf(450), 2, later + 420).has_value());
     CHECK_FALSE(limits.admit(chargeOf(450), 3, later + 820).has_value());
-    // Who does not come leaves its room to others after a while.
+    // The room of a caller that does not return becomes available after reservationTtl.
     CHECK(limits.admit(chargeOf(450), 6, later + 1210).has_value());
     CHECK_FALSE(limits.admit(chargeOf(450), 7, later + 1460).has_value());
 }
 
-TEST_CASE("What did not run makes room again, and nobody is told to come back very late")
+TEST_CASE("A request that did not run is refunded, and retry times are bounded")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(held), 1, later).has_value());
@@ -79,7 +78,7 @@
 }
 
 TEST_CASE(
-        "A request that costs more than all that an account may have at once runs when it has that")
+        "A request that costs more than the bucket's capacity is admitted when the bucket is full")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(4500), ++work, later).has_value());
@@ -87,7 +86,7 @@
     CHECK_FALSE(limits.admit(chargeOf(4500), 1, later + 4000).has_value());
 }
 
-TEST_CASE("A counter that does not know what others admit begins near empty")
+TEST_CASE("A counter that does not know what others admit starts with nearly empty buckets")
 {
     auto limits = policy::AccountLimits { {}, later };
     CHECK_FALSE(limits.admit(chargeOf(90), ++work, later).has_value()); // A tenth of the tolerance.
@@ -97,7 +96,7 @@
     CHECK(roomOf(limits, later + 10'000) == doctest::Approx(90));
 }
 
-TEST_CASE("News of a counter that has long been counting takes its last part only")
+TEST_CASE("Of the first update of a counter only its latest part is deducted")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     const auto row = [&](double sum, double latest) {
@@ -108,15 +107,15 @@
     CHECK(roomOf(limits, later) == doctest::Approx(held - 100));
     limits.onNews(NodeId { "c" }, Incarnation { 1 }, row(1e9 + 300, 50), later);
     CHECK(roomOf(limits, later) == doctest::Approx(held - 400));
-    // It has started anew: its sums begin again.
+    // The counter has restarted: its sums start from zero.
     limits.onNews(NodeId { "c" }, Incarnation { 2 }, row(200, 200), later);
     CHECK(roomOf(limits, later) == doctest::Approx(held - 600));
-    // What it has given back.
+    // The counter has refunded 100 units.
     limits.onNews(NodeId { "c" }, Incarnation { 2 }, row(100, -100), later);
     CHECK(roomOf(limits, later) == doctest::Approx(held - 500));
 }
 
-TEST_CASE("A counter that begins anew takes over what another one knows")
+TEST_CASE("A counter that was reset takes over the level that another one knows")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(100), ++work, later).has_value());
@@ -128,10 +127,11 @@
     CHECK(roomOf(limits, later) < 0);
     row.isKnown = true;
     limits.onNews(NodeId { "c" }, Incarnation { 1 }, { row }, later);
-    CHECK(roomOf(limits, later) == doctest::Approx(250)); // Less what was admitted here since.
+    // 300 less the 50 admitted here since the reset.
+    CHECK(roomOf(limits, later) == doctest::Approx(250));
 }
 
-TEST_CASE("A counter that was heard until a while ago may have gone on unheard")
+TEST_CASE("A counter whose updates stopped recently may have gone on admitting")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     auto sum = 0.0;
@@ -143,13 +143,13 @@
     const auto last = later + 19'900;
     const auto before = roomOf(limits, last + 1300);
     static_cast<void>(limits.roomIn(chargeOf(1), ++work, last + 1300));
-    CHECK(before - roomOf(limits, last + 1300) > 500); // A second of some 1,000 units.
+    CHECK(before - roomOf(limits, last + 1300) > 500); // One second at about 1,000 units a second.
     const auto after = roomOf(limits, last + 1310);
     static_cast<void>(limits.roomIn(chargeOf(1), ++work, last + 1310));
-    CHECK(after - roomOf(limits, last + 1310) < 20); // It is taken once.
+    CHECK(after - roomOf(limits, last + 1310) < 20); // It is deducted once.
 }
 
-TEST_CASE("A limit that is lowered binds at once, and an older document's word does not raise it")
+TEST_CASE("A lowered limit applies at once, and an older document does not raise it again")
 {
     auto limits = policy::AccountLimits { {}, 0 };
     CHECK_FALSE(limits.admit(chargeOf(1), ++work, later).has_value());
@@ -162,10 +162,10 @@
     auto higher = chargeOf(400);
     higher.version = Revision { 3 };
     CHECK(limits.admit(higher, 1, later + 1200).has_value());
-    CHECK_FALSE(limits.admit(higher, 1, later + 1700).has_value()); // It fills by the new rate.
+    CHECK_FALSE(limits.admit(higher, 1, later + 1700).has_value()); // It fills at the new rate.
 }
 
-TEST_CASE("When there are too many accounts the one that has used least of its limit is forgotten")
+TEST_CASE("When there are too many accounts, the one that used least of its limit is evicted")
 {
     auto options = policy::AccountLimitsOptions {};
     options.maxAccounts = 2;
@@ -181,10 +181,10 @@
     CHECK_FALSE(limits.admit(chargeTo("c", 50), ++work, later));
     CHECK(limits.size() == 2);
     CHECK(limits.admit(chargeTo("a", 50), ++work, later).has_value());
-    const auto standings = limits.standings(3, later);
+    const auto statuses = limits.accountStatuses(3, later);
     const auto isKnown = [&](const char *account) {
-        return std::any_of(standings.begin(), standings.end(), [&](const auto &standing) {
-            return standing.account == AccountId { account };
+        return std::any_of(statuses.begin(), statuses.end(), [&](const auto &status) {
+            return status.account == AccountId { account };
         });
     };
     CHECK(isKnown("a"));
--- a/policy/testing/tst_admission.cpp
+++ b/policy/testing/tst_admission.cpp
@@ -1,4 +1,4 @@
-// Admission and queueing: order, bounds, honest refusal, shedding; against a plain reference.
+// Tests admission and queueing against a simple reference: order, bounds, retry times, shedding.
 
 #include "policy/admission.h"
 
@@ -36,7 +36,7 @@
              now,    now + target.start, now + target.finish };
 }
 
-/// The plain reference: one list, walked for everything.
+/// The reference: one list that every operation walks.
 class PlainQueue
 {
 public:
@@ -117,7 +117,7 @@
 private:
     std::vector<QueuedRequest> requests_;
     std::map<std::pair<ModelId, ClassId>, std::uint32_t> passedOver_;
-    std::uint32_t poppedFrom_ = 0; ///< Of the lane of the last pop(), before it.
+    std::uint32_t poppedFrom_ = 0; ///< passedOver of the last popped lane, before.
 };
 
 auto tickets(const std::vector<QueuedRequest> &requests) -> std::set<std::uint64_t>
@@ -128,8 +128,8 @@
     return all;
 }
 
-/// The least number of requests that must go for the others to be in time: Moore and Hodgson's
-/// rule over equal service times.
+/// Returns the least number of requests to remove so that all others are in time, by the
+/// Moore-Hodgson rule for equal service times.
 auto leastDropped(std::vector<QueuedRequest> requests, const ModelView &view, Millis now,
                   double share) -> std::size_t
 {
@@ -158,7 +158,7 @@
     return view;
 }
 
-/// One replica of eight slots, all busy, a slot coming free every 125 ms.
+/// One replica with eight busy slots, of which one becomes free every 125 ms.
 auto busyView() -> ModelView
 {
     auto view = ModelView {};
@@ -170,7 +170,7 @@
 
 } // namespace
 
-TEST_CASE("the earliest start deadline goes first, across classes")
+TEST_CASE("the earliest start deadline is dispatched first, across classes")
 {
     auto queue = RequestQueue { {} };
     CHECK_FALSE(queue.admit(makeRequest(1, patient, 0), busyView(), 0).refusal);
@@ -182,7 +182,7 @@
     CHECK_FALSE(queue.pop(ModelId { "m" }, 10));
 }
 
-TEST_CASE("what cannot start in time is refused at once, with the time when it could")
+TEST_CASE("a request that cannot start in time is refused at once, with the time when it could")
 {
     auto queue = RequestQueue { {} };
     auto view = ModelView {};
@@ -197,7 +197,7 @@
     CHECK_FALSE(queue.admit(makeRequest(2, urgent, back), view, back).refusal);
 }
 
-TEST_CASE("a model that no endpoint can hold is refused as such")
+TEST_CASE("a model that no endpoint can hold is refused with NoCapacity")
 {
     auto queue = RequestQueue { {} };
     auto view = ModelView {};
@@ -207,7 +207,7 @@
     CHECK(verdict.refusal->kind == ErrorKind::NoCapacity);
 }
 
-TEST_CASE("nothing waits past its time")
+TEST_CASE("no request waits past its deadline")
 {
     auto queue = RequestQueue { {} };
     queue.admit(makeRequest(1, urgent, 0), busyView(), 0);
@@ -250,7 +250,7 @@
     CHECK(queue.admit(makeRequest(5, patient, 0, "c"), busyView(), 0).refusal);
 }
 
-TEST_CASE("random use equals the plain reference, and each request leaves exactly once")
+TEST_CASE("random use matches the reference, and each request leaves exactly once")
 {
     constexpr auto targets = std::array { urgent, routine, patient };
     const auto models = std::array { ModelId { "a" }, ModelId { "b" }, ModelId { "c" } };
@@ -266,7 +266,7 @@
         auto plain = PlainQueue {};
         auto taken = std::optional<QueuedRequest> {};
         auto takenCounted = false;
-        auto drains = std::map<ModelId, DrainShare> {}; // Told what the queue is told.
+        auto drains = std::map<ModelId, DrainShare> {}; // Receives the same events as the queue.
         const auto waits = [&](const ModelId &of) {
             const auto isOf = [&](const QueuedRequest &request) { return request.model == of; };
             return std::ranges::any_of(plain.requests(), isOf);
@@ -307,7 +307,7 @@
                 }
             } else if (action < 85) {
                 const auto popped = queue.pop(model, now);
-                const auto expected = plain.pop(model, now, options.patientShare);
+                const auto expected = plain.pop(model, now, options.minShareDivisor);
                 REQUIRE(popped.has_value() == expected.has_value());
                 if (popped) {
                     drains[model].advance(true, now);
@@ -323,7 +323,7 @@
                 queue.putBack(*taken);
                 plain.putBack(*taken);
                 if (takenCounted)
-                    drains[taken->model].onPutBack();
+                    drains[taken->model].onRequeue();
                 taken.reset();
             } else if (action < 91) {
                 const auto which = random.below(ticket + 1);
@@ -362,7 +362,7 @@
     CHECK(refusals > 1000);
 }
 
-TEST_CASE("a predicted start is that of slots that come free one by one")
+TEST_CASE("a predicted start matches slots that become free one by one")
 {
     auto random = Random { 5 };
     for (auto round = 0; round < 3000; ++round) {
@@ -394,11 +394,11 @@
     }
 }
 
-TEST_CASE("patient work keeps its share of dispatches while urgent work never ends")
+TEST_CASE("a less urgent class keeps its share of dispatches under constant urgent load")
 {
     auto queue = RequestQueue { {} };
     auto view = busyView();
-    view.totalSlots = 800; // All are predicted to start in time.
+    view.totalSlots = 800; // So that all are predicted to start in time.
     for (auto i = std::uint64_t { 0 }; i < 40; ++i)
         queue.admit(makeRequest(1000 + i, patient, 0), view, 0);
     auto patientServed = 0;
@@ -411,7 +411,7 @@
     CHECK(patientServed <= 200 / 9 + 1);
 }
 
-TEST_CASE("an urgent newcomer displaces patient work ahead of it, at most two")
+TEST_CASE("a new urgent request displaces at most two less urgent requests ahead of it")
 {
     auto queue = RequestQueue { {} };
     const auto view = busyView(); // 8 a second: 16 starts fit in two seconds.
@@ -420,13 +420,13 @@
         CHECK_FALSE(queue.admit(makeRequest(ticket, routine, 0, std::to_string(ticket)), view, 0)
                             .refusal);
     auto now = Millis { 0 };
-    for (; now < 8500; now += 125) { // One goes and one comes, as fast as slots come free.
+    for (; now < 8500; now += 125) { // One pop and one arrival for each slot that becomes free.
         REQUIRE(queue.pop(ModelId { "m" }, now));
         ++ticket;
         const auto request = makeRequest(ticket, routine, now, std::to_string(ticket));
         REQUIRE_FALSE(queue.admit(request, view, now).refusal);
     }
-    // A dozen of the routine ones are due before an urgent newcomer.
+    // A dozen of the routine requests are due before a new urgent request.
     auto admitted = std::size_t { 0 };
     auto shed = std::size_t { 0 };
     for (auto i = 0; i < 14; ++i) {
@@ -441,24 +441,24 @@
     CHECK(queue.queuedFor(ModelId { "m" }) == 75 + admitted - shed);
 }
 
-TEST_CASE("callers refused together are told to come back one after another")
+TEST_CASE("callers refused together get increasing retry times")
 {
     auto queue = RequestQueue { {} };
     auto view = busyView();
     auto last = Millis { 0 };
-    auto told = std::set<Millis> {};
+    auto retryTimes = std::set<Millis> {};
     for (auto i = std::uint64_t { 0 }; i < 200; ++i) {
         const auto verdict = queue.admit(makeRequest(i, urgent, 0, std::to_string(i)), view, 0);
         if (!verdict.refusal)
             continue;
         CHECK(verdict.refusal->retryAfter > last);
         last = verdict.refusal->retryAfter;
-        told.insert(last);
+        retryTimes.insert(last);
     }
-    CHECK(told.size() > 150);
+    CHECK(retryTimes.size() > 150);
 }
 
-TEST_CASE("a full queue takes urgent work in place of the least urgent")
+TEST_CASE("a full queue admits an urgent request in place of the least urgent one")
 {
     auto options = QueueOptions {};
     options.maxTotal = 20;
@@ -471,12 +471,13 @@
     }
     const auto verdict = queue.admit(makeRequest(200, urgent, 0), view, 0);
     CHECK_FALSE(verdict.refusal);
-    CHECK(verdict.shed == std::vector<std::uint64_t> { 9 }); // The newest patient one.
+    // The newest of the less urgent requests.
+    CHECK(verdict.shed == std::vector<std::uint64_t> { 9 });
     CHECK(queue.admit(makeRequest(201, patient, 0), view, 0).refusal);
     CHECK(queue.size() == 20);
 }
 
-TEST_CASE("goodput stays flat beyond saturation, and what is given up is told soon")
+TEST_CASE("goodput stays flat beyond saturation, and refusals are fast")
 {
     auto options = testing::OverloadOptions {};
     options.duration = 120000;
@@ -489,16 +490,16 @@
         if (load <= 2.0)
             CHECK(mostUrgent.served * 100 > mostUrgent.offered * 98);
         CHECK(leastUrgent.served > 0);
-        // Held until the deadline it would be a minute.
+        // Holding requests until their deadline would give a minute.
         if (leastUrgent.refusals > 0)
             CHECK(leastUrgent.heldMs / leastUrgent.refusals < 3000);
     }
     options.load = 4.0;
     options.kind = testing::QueueKind::Deadline;
-    CHECK(testing::runOverload(options, 3).goodput() < 0.5); // What it is measured against.
+    CHECK(testing::runOverload(options, 3).goodput() < 0.5); // The baseline for comparison.
 }
 
-TEST_CASE("routers that share a model's slots learn what part of them is theirs")
+TEST_CASE("routers that share a model's slots learn their share of them")
 {
     auto options = testing::OverloadOptions {};
     options.duration = 120000;
@@ -513,12 +514,12 @@
                 CHECK(mostUrgent.served * 100 > mostUrgent.offered * 93);
             CHECK(mostUrgent.served * middle.offered > middle.served * mostUrgent.offered);
             CHECK(leastUrgent.served > 0);
-            CHECK(leastUrgent.heldMs / leastUrgent.refusals < 6000); // Of a minute.
+            CHECK(leastUrgent.heldMs / leastUrgent.refusals < 6000); // The deadline is a minute.
         }
     }
 }
 
-TEST_CASE("a request that is only tried and put back teaches nothing")
+TEST_CASE("a request that is popped and put back does not change the measured share")
 {
     auto queue = RequestQueue { {} };
     const auto view = busyView();
@@ -531,15 +532,16 @@
     for (auto now = Millis { 1 }; now < 5000; now += 10) {
         const auto tried = queue.pop(ModelId { "m" }, now); // All replicas are full.
         REQUIRE(tried);
-        CHECK(tried->ticket == first->ticket); // Trying is not being passed over.
+        // A dispatch that is put back does not count as passed over.
+        CHECK(tried->ticket == first->ticket);
         queue.putBack(*tried);
     }
-    // Nothing drained for five seconds: another ten cannot be served within ten.
+    // Nothing was dispatched for five seconds: ten more cannot be served within ten seconds.
     const auto verdict = queue.admit(makeRequest(999, routine, 5000), view, 5000);
     CHECK(verdict.refusal);
 }
 
-TEST_CASE("while a model loads, callers are told to come back when it is ready")
+TEST_CASE("while a model loads, callers are told to retry when it is ready")
 {
     auto queue = RequestQueue { {} };
     auto view = ModelView {};
@@ -566,11 +568,11 @@
     }
     CHECK(drain.value(100) > 0.9);
     drain.advance(true, 50000);
-    drain.discard(60000); // A load: nothing could be dispatched.
+    drain.discard(60000); // A load was in progress: nothing could be dispatched.
     CHECK(drain.value(100) > 0.9);
 }
 
-TEST_CASE("a request queued twice is a fault that the queue notices")
+TEST_CASE("queueing a request twice is detected")
 {
     struct CheckBit
     { };
