--- a/policy/testing/tst_choice.cpp
+++ b/policy/testing/tst_choice.cpp
@@ -1,4 +1,5 @@
-// Choice of a replica: lag correction, two draws, affinity, circuit breaking, cache-event gaps.
+// Tests the choice of a replica: lag correction, two random candidates, prefix affinity, circuit
+// breaking, and gaps in cache events.
 
 #include "policy/choice.h"
 
@@ -42,7 +43,7 @@
     const auto endpoint = endpointName(0);
     chooser.onDispatch(endpoint, model, 100);
     chooser.onDispatch(endpoint, model, 200);
-    chooser.onReport(endpoint, model, 3, 1, 150); // Has the first, not the second.
+    chooser.onReport(endpoint, model, 3, 1, 150); // Includes the first, not the second.
     CHECK(chooser.estimatedLoad(endpoint, model) == 5);
     chooser.onEnd(endpoint, model, DispatchResult::Finished, 300);
     CHECK(chooser.estimatedLoad(endpoint, model) == 4);
@@ -65,7 +66,7 @@
     CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 2));
 }
 
-TEST_CASE("a failing endpoint is put aside and tried with one request at a time")
+TEST_CASE("a failing endpoint is excluded and probed with one request at a time")
 {
     auto chooser = ReplicaChooser { {}, 1 };
     const auto candidates = makeCandidates(1);
@@ -78,16 +79,17 @@
     CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 1999));
     CHECK(chooser.choose({ model, {} }, candidates, 8, 2500));
     chooser.onDispatch(endpoint, model, 2500);
-    CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 2501)); // The trial runs.
+    CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 2501)); // The trial is in progress.
     chooser.onEnd(endpoint, model, DispatchResult::Failed, 2600);
-    CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 6500)); // Twice the time.
+    // The circuit is open for twice the time.
+    CHECK_FALSE(chooser.choose({ model, {} }, candidates, 8, 6500));
     CHECK(chooser.choose({ model, {} }, candidates, 8, 7700));
     chooser.onDispatch(endpoint, model, 7700);
     chooser.onEnd(endpoint, model, DispatchResult::Finished, 7800);
     CHECK(chooser.choose({ model, {} }, candidates, 8, 7800));
 }
 
-TEST_CASE("a cached prefix draws the request until the queue outweighs it")
+TEST_CASE("a cached prefix attracts the request until the queue outweighs it")
 {
     auto chooser = ReplicaChooser { {}, 1 };
     const auto candidates = makeCandidates(100);
@@ -103,7 +105,7 @@
     CHECK(chosen < 10);
 }
 
-TEST_CASE("a gap in cache events is noticed, distrusted and mended by a snapshot")
+TEST_CASE("after a gap in cache events the endpoint is distrusted until a snapshot")
 {
     auto chooser = ReplicaChooser { {}, 1 };
     const auto candidates = makeCandidates(50);
@@ -130,12 +132,12 @@
     CHECK(timesChosen() < 20);
 }
 
-TEST_CASE("the estimate equals a plain ledger of every stream's times")
+TEST_CASE("the estimate matches a reference that records the times of every stream")
 {
     struct Stream
     {
         Millis from = 0;
-        Millis to = -1; ///< -1: runs.
+        Millis to = -1; ///< -1: still running.
     };
     for (auto seed = std::uint64_t { 1 }; seed <= 60; ++seed) {
         auto random = Random { seed };
@@ -222,7 +224,7 @@
     CHECK(estimate.unseen(others, 500) == doctest::Approx(2));
 }
 
-TEST_CASE("the prefix index equals a plain copy of each cache, through loss and repeats")
+TEST_CASE("the prefix index matches a copy of each cache, despite lost and repeated batches")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 20; ++seed) {
         auto random = Random { seed };
@@ -254,7 +256,7 @@
             const auto first = cache.next;
             cache.next += added.size() + removed.size();
             if (lost) {
-                // The batch is never seen; the next one shows the gap.
+                // The batch is lost; the next one reveals the gap.
                 const auto more = std::vector<std::uint64_t> { 100 };
                 CHECK_FALSE(index.apply(slot, { cache.next, false, more, {} }));
                 ++cache.next;
@@ -262,7 +264,7 @@
                 cache.blocks.clear();
                 continue;
             }
-            // Blocks 200.. are added first so that removing them means something.
+            // Blocks 200.. are added first so that removing them has an effect.
             if (cache.trusted) {
                 cache.blocks.insert(added.begin(), added.end());
                 for (const auto block : removed)
@@ -294,7 +296,7 @@
     }
 }
 
-TEST_CASE("an endpoint that counts its events anew is noticed, repeats are not minded")
+TEST_CASE("an endpoint that restarts its event sequence is detected, single repeats are ignored")
 {
     auto index = PrefixIndex { {} };
     const auto blocks = std::vector<std::uint64_t> { 1, 2, 3 };
@@ -303,12 +305,13 @@
     CHECK(index.apply(0, { 3, false, blocks, {} }));
     CHECK(index.apply(0, { 0, false, blocks, {} }));
     CHECK(index.apply(0, { 3, false, blocks, {} }));
-    CHECK_FALSE(index.apply(0, { 0, false, blocks, {} })); // Again and again: it began anew.
+    // Repeats in a row: the sequence restarted.
+    CHECK_FALSE(index.apply(0, { 0, false, blocks, {} }));
     CHECK(index.isDistrusted(0));
     CHECK(index.deepest(blocks).depth == 0);
 }
 
-TEST_CASE("all events from the first on are as good as a snapshot")
+TEST_CASE("a batch from the first event on is equivalent to a snapshot")
 {
     auto index = PrefixIndex { {} };
     const auto blocks = std::vector<std::uint64_t> { 1, 2, 3 };
@@ -344,7 +347,7 @@
         circuit.onFailure(now, random.unit());
     for (const auto openTime : { 1000, 2000, 4000, 8000, 8000 }) {
         CHECK_FALSE(circuit.allows(now + openTime - 1));
-        now += openTime * 5 / 4; // With the longest spread.
+        now += openTime * 5 / 4; // With the largest jitter.
         CHECK(circuit.allows(now));
         circuit.onDispatch(now);
         CHECK_FALSE(circuit.allows(now + 100000));
@@ -353,7 +356,7 @@
         circuit.onDispatch(now);
         circuit.onFailure(now, random.unit());
     }
-    circuit.onSuccess(now); // Of work sent long before: says nothing.
+    circuit.onSuccess(now); // A late result of earlier work is ignored.
     CHECK_FALSE(circuit.allows(now));
     now += 10000;
     circuit.onDispatch(now);
@@ -361,7 +364,7 @@
     CHECK(circuit.isClosed());
 }
 
-TEST_CASE("a slow replica is put aside, and used all the same when nothing else is there")
+TEST_CASE("a slow replica is excluded, but used when there is no other")
 {
     auto chooser = ReplicaChooser { {}, 1 };
     auto candidates = makeCandidates(10);
@@ -377,7 +380,8 @@
     CHECK(chooser.choose({ model, {} }, candidates, 8, 20) == std::size_t { 0 });
 }
 
-TEST_CASE("a request that may not be repeated is no trial while another replica can take it")
+TEST_CASE("a request that may not be repeated is not used as a trial while another replica can "
+          "take it")
 {
     auto chooser = ReplicaChooser { {}, 1 };
     const auto candidates = makeCandidates(4);
@@ -396,7 +400,7 @@
     CHECK(tried);
 }
 
-TEST_CASE("random use never picks a replica that is full of own streams or aside")
+TEST_CASE("random use never picks a replica that is excluded or full of own streams")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 20; ++seed) {
         auto random = Random { seed };
@@ -432,7 +436,7 @@
                 continue;
             if (!failed) {
                 failures[i] = 0;
-                // It may still be within the spread of its time aside.
+                // The circuit may still be open because of jitter.
                 if (openedAt.contains(i) && now >= openedAt[i] + 75000)
                     openedAt.erase(i);
             } else if (++failures[i] >= 3 || openedAt.contains(i)) {
--- a/policy/testing/tst_planner.cpp
+++ b/policy/testing/tst_planner.cpp
@@ -1,4 +1,4 @@
-// The planner's decisions on small tables, one promise a case.
+// Tests the planner's decisions on small tables, one guarantee per case.
 
 #include <algorithm>
 
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("a burst is one demand and one decision")
+TEST_CASE("a burst gives one demand and one decision")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -69,7 +69,7 @@
     CHECK(planner.plan(100).empty());
 }
 
-TEST_CASE("a queue past what one replica starts in time gets more, in other domains")
+TEST_CASE("a queue that one replica cannot start in time gets more replicas, in other domains")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -80,7 +80,7 @@
     CHECK(decisions[1].endpoint != decisions[2].endpoint);
 }
 
-TEST_CASE("a refused cold arrival still asks for one load")
+TEST_CASE("a refused arrival for an unloaded model still demands one load")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -101,7 +101,7 @@
     CHECK(decisions[0].from == Tier::Memory);
 }
 
-TEST_CASE("memory held, in doubt or being freed is never given twice")
+TEST_CASE("memory that is held, in doubt or being freed is never allocated twice")
 {
     auto planner = Planner { {} };
     auto only = endpoint("e", "a", 100);
@@ -123,7 +123,7 @@
     CHECK(planner.plan(400).size() == 1);
 }
 
-TEST_CASE("an idle replica gives way to a demand, once")
+TEST_CASE("an idle replica is evicted for a demand, once")
 {
     auto planner = Planner { {} };
     planner.setEndpoint(endpoint("e", "a", 100));
@@ -142,7 +142,7 @@
     CHECK(countOf(planner.plan(300), DecisionKind::Load, "new") == 1);
 }
 
-TEST_CASE("a busy replica never gives way")
+TEST_CASE("a busy replica is never evicted")
 {
     auto planner = Planner { {} };
     planner.setEndpoint(endpoint("e", "a", 100));
@@ -164,14 +164,14 @@
     planner.setDemand(demand("m1", 1, 9000));
     planner.setDemand(demand("m2", 1, 8000));
     planner.setDemand(demand("m3", 1, 7000));
-    planner.setDemand(demand("m4", 1, 100)); // Too late already: after those still in time.
+    planner.setDemand(demand("m4", 1, 100)); // Already late: placed after those still in time.
     const auto decisions = planner.plan(0);
     REQUIRE(decisions.size() == 2);
     CHECK(decisions[0].model == ModelId { "m3" });
     CHECK(decisions[1].model == ModelId { "m2" });
 }
 
-TEST_CASE("an adapter waits for its base and is put beside it")
+TEST_CASE("an adapter waits for its base and is loaded on the same endpoint")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("base", 60));
@@ -190,7 +190,7 @@
     CHECK(second[0].endpoint == where);
     planner.setReplica(replica("adapter", where.value().c_str(), ReplicaPhase::Ready));
     planner.setDemand({ ModelId { "adapter" }, urgent, 0, 0, 0 });
-    // The base is let go only after its adapter.
+    // The base is unloaded only after its adapter.
     const auto later = planner.plan(100000000);
     CHECK(countOf(later, DecisionKind::Unload, "adapter") == 1);
     CHECK(countOf(later, DecisionKind::Unload, "base") == 0);
@@ -198,7 +198,7 @@
     CHECK(countOf(planner.plan(100001000), DecisionKind::Unload, "base") == 1);
 }
 
-TEST_CASE("an adapter of a base that was never set is a model on its own")
+TEST_CASE("an adapter whose base was never set is treated as a base model")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("adapter", 5, "unknown"));
@@ -225,7 +225,8 @@
     CHECK(countOf(planner.plan(200), DecisionKind::Unload, "m") == 1);
 }
 
-TEST_CASE("a patient class lets its model go while an urgent one still pays for warmth")
+TEST_CASE("the model of a class with a late target is unloaded while that of an urgent class stays "
+          "warm")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("quick", 50));
@@ -247,7 +248,7 @@
     CHECK(countOf(decisions, DecisionKind::Unload, "slow") == 1);
 }
 
-TEST_CASE("a replica is not let go while its model is asked for, though it is reported idle")
+TEST_CASE("a replica reported idle is not unloaded while requests for its model wait or run")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -280,7 +281,7 @@
     CHECK(planner.plan(300).empty());
 }
 
-TEST_CASE("a slow store shows in the next prediction and fades")
+TEST_CASE("a slow store affects the next prediction, and the effect decays")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -294,7 +295,7 @@
     CHECK(planner.predictedLoad(ModelId { "m" }, Tier::Remote, 3600000) < 2 * usual);
 }
 
-TEST_CASE("one overdue load shows as slow as it is, however often it is looked at")
+TEST_CASE("one overdue load gives its actual slowness, however often it is reported")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("m", 50));
@@ -311,7 +312,7 @@
     CHECK(predicted < 6500);
 }
 
-TEST_CASE("loads of small adapters do not make those of large bases look long")
+TEST_CASE("load times of small adapters do not inflate predictions for large bases")
 {
     auto planner = threeEndpoints();
     planner.setModel(model("adapter", 1000));
--- a/policy/testing/tst_plannerrandom.cpp
+++ b/policy/testing/tst_plannerrandom.cpp
@@ -1,5 +1,5 @@
-// The planner against random tables: after every plan() a plain model of the fleet
-// checks each promise of planner.h the slow and obvious way.
+// Tests the planner on random tables: after every plan(), a simple model of the fleet checks each
+// guarantee of planner.h by walking all rows.
 
 #include <map>
 #include <set>
@@ -17,7 +17,7 @@
 
 using Place = std::pair<ModelId, EndpointId>;
 
-/// A fleet that carries out what is decided, fails and changes at random, and counts by walking.
+/// A fleet that carries out decisions, fails and changes at random, and counts by walking all rows.
 class PlainFleet
 {
 public:
@@ -129,7 +129,7 @@
         tellEndpoint(info.id);
     }
 
-    /// A load or unload ends, a stream starts or ends, an order falls in doubt or fails.
+    /// A load or unload ends, a stream starts or ends, or an order becomes doubtful or fails.
     auto changeReplica() -> void
     {
         if (replicas_.empty())
@@ -210,14 +210,14 @@
         REQUIRE(replica.phase == ReplicaPhase::Ready);
         REQUIRE(replica.running == 0);
         for (const auto &[place, other] : replicas_) {
-            const auto standsOnIt = place.second == decision.endpoint
+            const auto needsThisBase = place.second == decision.endpoint
                     && models_.at(place.first).base == decision.model;
-            if (standsOnIt)
-                REQUIRE(decided.count(place) == 1); // Before it, in the same list.
+            if (needsThisBase)
+                REQUIRE(decided.count(place) == 1); // Earlier in the same list.
         }
     }
 
-    /// No more replicas on the way than one a waiting request, whatever else is true.
+    /// Checks that at most one replica per waiting request is being loaded, in all cases.
     auto checkCounts(const std::vector<Decision> &decisions) -> void
     {
         auto loads = std::map<ModelId, std::uint32_t> {};
@@ -243,7 +243,7 @@
 
 } // namespace
 
-TEST_CASE("random tables never make the planner break a promise")
+TEST_CASE("the planner keeps its guarantees on random tables")
 {
     auto loads = std::uint64_t { 0 };
     auto unloads = std::uint64_t { 0 };
@@ -255,7 +255,7 @@
         loads += fleet.loads();
         unloads += fleet.unloads();
     }
-    // The run did exercise both kinds of decision.
+    // The run covered both kinds of decision.
     CHECK(loads > 1000);
     CHECK(unloads > 500);
 }
--- a/policy/testing/tst_quarantine.cpp
+++ b/policy/testing/tst_quarantine.cpp
@@ -1,4 +1,4 @@
-// Which work is refused after endpoints ended under it, in virtual time.
+// Tests which work is refused after endpoints ended while running it, in virtual time.
 
 #include <doctest/doctest.h>
 
@@ -36,15 +36,15 @@
     return quarantine.verdict(work, now).standing;
 }
 
-/// Endpoints that run sound requests; some end at each wave, and those that were cut off come back
-/// at once, as often as callers do, onto an endpoint drawn at random.
+/// Endpoints that run harmless requests. Some endpoints end in each wave, and the requests that
+/// were cut off are retried at once, as callers do, on an endpoint drawn at random.
 struct WaveModel
 {
     std::size_t endpoints = 240;
     std::size_t inProgress = 20; ///< Requests at each endpoint.
-    double share = 0.25;         ///< Of the endpoints that end with each wave.
+    double share = 0.25;         ///< Share of the endpoints that end in each wave.
     std::size_t waves = 3;
-    Millis between = 400; ///< From one wave to the next; a request takes longer.
+    Millis between = 400; ///< Time between waves, ms; a request takes longer.
     std::uint64_t seed = 1;
 };
 
@@ -54,7 +54,7 @@
     std::size_t quarantined = 0;
 };
 
-/// The worst case: no request completes before all waves are over.
+/// Simulates the worst case: no request completes before all waves are over.
 auto playWaves(const WaveModel &model) -> WaveResult
 {
     auto random = Random { model.seed };
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("Work is known again by method, host, path and body, of its caller and of anyone")
+TEST_CASE("Work is identified by method, host, path and body, per caller and over all callers")
 {
     const auto works = workIdsOf({ "POST", "h", "/p", "q=1", "a", "b" });
     CHECK(works == workIdsOf({ "POST", "h", "/p", "q=1", "a", "b" }));
@@ -100,24 +100,25 @@
                                catalogue::WorkParts { "POST", "g", "/p", "q=1", "a", "b" },
                                catalogue::WorkParts { "POST", "h", "/q", "q=1", "a", "b" },
                                catalogue::WorkParts { "POST", "h", "/p", "q=1", "a", "c" },
-                               // The same bytes, cut elsewhere.
+                               // The same bytes, split at another position.
                                catalogue::WorkParts { "POST", "h", "/pq=1", "", "a", "b" } }) {
         CHECK(workIdsOf(parts).ofCaller != works.ofCaller);
         CHECK(workIdsOf(parts).ofAnyone != works.ofAnyone);
     }
-    // From another address of the caller, or with another query: the same to anyone.
+    // From another caller address or with another query, ofAnyone is the same.
     CHECK(workIdsOf({ "POST", "h", "/p", "q=1", "x", "b" }).ofAnyone == works.ofAnyone);
     CHECK(workIdsOf({ "POST", "h", "/p", "q=2", "a", "b" }).ofAnyone == works.ofAnyone);
     CHECK(workIdsOf({ "POST", "h", "/p", "q=1", "x", "b" }).ofCaller != works.ofCaller);
     CHECK(workIdsOf({ "POST", "h", "/p", "q=2", "a", "b" }).ofCaller != works.ofCaller);
-    // Without a body the query is what is asked for.
+    // Without a body, the query is part of the identity.
     const auto read = workIdsOf({ "GET", "h", "/p", "page=1", "a", "" });
     CHECK(workIdsOf({ "GET", "h", "/p", "page=2", "a", "" }).ofAnyone != read.ofAnyone);
     CHECK_FALSE(works.ofAnyone.isNone());
     CHECK(works.ofAnyone.text().size() == 32);
 }
 
-TEST_CASE("The third endpoint that ends puts the work in quarantine, an end told twice does not")
+TEST_CASE(
+        "The third end of an endpoint quarantines the work, a repeated report of one end does not")
 {
     auto quarantine = Quarantine { {} };
     const auto work = workOf("poison");
@@ -132,7 +133,7 @@
     const auto verdict = quarantine.verdict(work, start + second);
     CHECK(verdict.standing == Standing::Quarantined);
     CHECK(verdict.releaseIn == QuarantineOptions {}.firstPeriod - second);
-    // Also when it comes from another address, of which nothing is known.
+    // Also when it comes from an unknown address.
     CHECK(standingOf(quarantine, workOf("poison", "b"), start) == Standing::Quarantined);
     CHECK(standingOf(quarantine, workOf("other"), start) == Standing::Clear);
 }
@@ -145,8 +146,8 @@
     CHECK(standingOf(quarantine, workOf("poison", "new"), start) == Standing::Quarantined);
 }
 
-TEST_CASE("Where others send the same and it completes, only the caller under whom endpoints end "
-          "is out")
+TEST_CASE("If the same work completes for other callers, only the caller whose runs end endpoints "
+          "is quarantined")
 {
     auto quarantine = Quarantine { {} };
     auto now = start;
@@ -159,7 +160,8 @@
     CHECK(standingOf(quarantine, workOf("", "another"), now) == Standing::Clear);
 }
 
-TEST_CASE("After its time it is admitted once more, and each further end doubles the time")
+TEST_CASE(
+        "After its period the work is admitted once more, and each further end doubles the period")
 {
     const auto options = QuarantineOptions {};
     auto quarantine = Quarantine { options };
@@ -171,13 +173,13 @@
     CHECK(standingOf(quarantine, work, now) == Standing::Suspect);
     quarantine.onEnd(work, account, endpointOf(9), now);
     CHECK(quarantine.verdict(work, now).releaseIn == 2 * options.firstPeriod);
-    SUBCASE("never for longer than the bound")
+    SUBCASE("up to the longest period")
     {
         for (std::uint64_t i = 10; i < 40; ++i)
             quarantine.onEnd(work, account, endpointOf(i), now);
         CHECK(quarantine.verdict(work, now).releaseIn == options.longestPeriod);
     }
-    SUBCASE("a run that completes ends it")
+    SUBCASE("a completed run clears it")
     {
         now += 2 * options.firstPeriod;
         CHECK(quarantine.onCompleted(work, now));
@@ -185,7 +187,7 @@
     }
 }
 
-TEST_CASE("A completed run clears the ends before it, and those of the seconds after")
+TEST_CASE("A completed run clears the ends before it, and those within completionTtl after it")
 {
     const auto options = QuarantineOptions {};
     auto quarantine = Quarantine { options };
@@ -200,14 +202,14 @@
     for (std::uint64_t i = 10; i < 14; ++i)
         quarantine.onEnd(work, account, endpointOf(i), now);
     CHECK(standingOf(quarantine, work, now) == Standing::Clear);
-    // What was sound once and completes no more is found out all the same.
-    now = start + second + options.soundFor;
+    // Work that completed once and no longer does is quarantined all the same.
+    now = start + second + options.completionTtl;
     for (std::uint64_t i = 20; i < 23; ++i)
         quarantine.onEnd(work, account, endpointOf(i), now);
     CHECK(standingOf(quarantine, work, now) == Standing::Quarantined);
 }
 
-TEST_CASE("Tables that hear of the same ends agree, in any order and any number of times")
+TEST_CASE("Tables that receive the same ends agree, in any order and any number of times")
 {
     constexpr auto seeds = std::uint64_t { 200 };
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -221,7 +223,7 @@
             all[random.below(tables)].onEnd(work, account, endpointOf(i), start);
         if (random.below(3) == 0)
             all[random.below(tables)].onCompleted(work, start);
-        // Each pair exchanges rows, several times and in an order drawn at random.
+        // Random pairs exchange rows, then each pair does, twice.
         for (auto round = 0; round < 40; ++round) {
             const auto from = random.below(tables);
             const auto to = random.below(tables);
@@ -239,8 +241,7 @@
     }
 }
 
-TEST_CASE(
-        "Three gateways see one end each: their sum decides, and a completed run at one clears all")
+TEST_CASE("Ends seen by three gateways are summed, and a completed run at one gateway clears all")
 {
     auto gateways = std::vector<Quarantine>(3, Quarantine { {} });
     auto control = Quarantine { {} };
@@ -256,10 +257,10 @@
         for (const auto &row : control.rows(2, start + second))
             gateway.merge(row, start + second);
         CHECK(standingOf(gateway, work, start + second) == Standing::Quarantined);
-        // The age travels with the row: the time of release is the same everywhere.
+        // The row carries its age, so the release time is the same everywhere.
         CHECK(gateway.verdict(work, start + second).releaseIn
               == control.verdict(work, start + second).releaseIn);
-        CHECK(gateway.takeLocalChanges(start).empty()); // What was told is not told back.
+        CHECK(gateway.takeLocalChanges(start).empty()); // Received rows are not sent back.
     }
     gateways[1].onCompleted(work, start + 2 * second);
     for (const auto &row : gateways[1].takeLocalChanges(start + 2 * second))
@@ -267,7 +268,7 @@
     CHECK(standingOf(control, work, start + 2 * second) == Standing::Clear);
 }
 
-TEST_CASE("Work that completed here of late is not suspected for what others saw")
+TEST_CASE("Work that completed here recently is not suspected for ends that others saw")
 {
     auto quarantine = Quarantine { {} };
     const auto work = workOf("");
@@ -277,11 +278,11 @@
     row.ended = { endpointOf(1), endpointOf(2), endpointOf(3) };
     CHECK(quarantine.merge(row, start + second));
     CHECK(standingOf(quarantine, work, start + second) == Standing::Clear);
-    // The others are told of that run.
+    // The completed run is reported to the others.
     REQUIRE(quarantine.takeLocalChanges(start + second).size() == 1);
 }
 
-TEST_CASE("Two kinds of poison at once are both found, and nothing else is")
+TEST_CASE("Two harmful kinds of work at once are both quarantined, and nothing else is")
 {
     auto quarantine = Quarantine { {} };
     auto next = std::uint64_t { 0 };
@@ -289,22 +290,23 @@
         for (const auto *poison : { "one", "other" }) {
             const auto endpoint = endpointOf(next++);
             quarantine.onEnd(workOf(poison), account, endpoint, start);
-            // Ten sound requests were in progress beside it.
+            // Ten harmless requests were in progress on the same endpoint.
             for (auto beside = 0; beside < 10; ++beside) {
                 const auto body = std::to_string(next * 100 + beside);
                 quarantine.onEnd(workOf(body), account, endpoint, start);
             }
         }
     }
-    CHECK(quarantine.quarantined(start) == 4); // Each in two ways.
+    CHECK(quarantine.quarantined(start) == 4); // Two rows each: ofCaller and ofAnyone.
     CHECK(standingOf(quarantine, workOf("one"), start) == Standing::Quarantined);
     CHECK(standingOf(quarantine, workOf("other"), start) == Standing::Quarantined);
 }
 
-TEST_CASE("Waves of ends without any poison: sound requests that are refused stay within 1 in 50")
+TEST_CASE("Waves of ends without harmful work quarantine at most 1 in 50 harmless requests")
 {
-    // A request must meet all three waves, and each time be where an endpoint ends: 0.25 to the
-    // third, 1.6 in 100, when none completes in between and all come back at once.
+    // To be quarantined, a request must be on an ending endpoint in all three waves. The
+    // probability is 0.25 to the third, 1.6 in 100, if none completes in between and all are
+    // retried at once.
     constexpr auto seeds = std::uint64_t { 20 };
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         CAPTURE(seed);
@@ -313,14 +315,15 @@
         const auto result = playWaves(model);
         CHECK(result.quarantined * 50 <= result.requests);
     }
-    // Two waves refuse nobody, however many end.
+    // Two waves quarantine nothing, however many endpoints end.
     auto two = WaveModel {};
     two.waves = 2;
     two.share = 1;
     CHECK(playWaves(two).quarantined == 0);
 }
 
-TEST_CASE("The table is bounded, in all and by client account, and keeps what has most ends")
+TEST_CASE(
+        "The table is bounded, in total and per client account, and keeps the rows with most ends")
 {
     auto options = QuarantineOptions {};
     options.maxRows = 100;
@@ -329,26 +332,26 @@
     const auto work = workOf("poison");
     for (std::uint64_t i = 0; i < 3; ++i)
         quarantine.onEnd(work, account, endpointOf(i), start);
-    SUBCASE("one account fills it on purpose")
+    SUBCASE("one account fills the table")
     {
         for (auto i = 0; i < 1000; ++i)
             quarantine.onEnd(workOf(std::to_string(i)), account, endpointOf(5), start + i);
         CHECK(quarantine.size() == options.maxRowsPerAccount);
     }
-    SUBCASE("many accounts do")
+    SUBCASE("many accounts fill the table")
     {
         for (std::uint64_t i = 0; i < 1000; ++i)
             quarantine.onEnd(workOf(std::to_string(i)), i, endpointOf(5), start + second);
         CHECK(quarantine.size() == options.maxRows);
     }
     CHECK(standingOf(quarantine, work, start + second) == Standing::Quarantined);
-    // One row does not grow without bound either.
+    // The ends of one row are bounded too.
     for (std::uint64_t i = 0; i < 100; ++i)
         quarantine.onEnd(work, account, endpointOf(i), start);
     CHECK(quarantine.row(work.ofAnyone, start).ended.size() == options.maxEndsPerRow);
 }
 
-TEST_CASE("Suspects are forgotten after a calm time, work in quarantine is not")
+TEST_CASE("Suspected work expires after a time without ends, quarantined work does not")
 {
     const auto options = QuarantineOptions {};
     auto quarantine = Quarantine { options };
@@ -358,7 +361,7 @@
     const auto later = start + options.forgetSuspectAfter;
     CHECK(standingOf(quarantine, workOf("suspect"), later) == Standing::Clear);
     CHECK(quarantine.rows(1, later).size() == 2);
-    // Told late by one that was cut off, it does not come back.
+    // A row that arrives late from a peer that was cut off is not added again.
     auto row = SuspectRow {};
     row.work = workOf("late").ofAnyone;
     row.ended = { endpointOf(1) };
--- a/policy/testing/tst_ratelimiter.cpp
+++ b/policy/testing/tst_ratelimiter.cpp
@@ -1,4 +1,4 @@
-// The rate that an endpoint names, kept evenly.
+// Tests that requests to an endpoint are limited evenly to the rate it advertises.
 
 #include <doctest/doctest.h>
 
@@ -11,7 +11,7 @@
 using namespace figrack::policy;
 using namespace std::chrono_literals;
 
-TEST_CASE("Without a rate all may be sent")
+TEST_CASE("Without an advertised rate all requests may be sent")
 {
     auto limiter = RateLimiter {};
     const auto now = ManualClock {}.now();
@@ -22,7 +22,7 @@
     CHECK(limiter.nextAt(now) == now);
 }
 
-TEST_CASE("No window sees more than the rate and what may be sent at once")
+TEST_CASE("No window exceeds the rate plus the burst")
 {
     constexpr auto window = 4s;
     for (const auto rate : { 0.25, 1.0, 3.0, 40.0 }) {
@@ -33,7 +33,7 @@
         limiter.onAdvertisedRate(rate, clock.now(), clock.now());
         auto sent = std::deque<Instant> {};
         auto total = 0;
-        const auto begun = clock.now();
+        const auto started = clock.now();
         for (auto i = 0; i < 20'000; ++i) {
             clock.advance(std::chrono::milliseconds { random.below(10) });
             const auto now = clock.now();
@@ -46,12 +46,12 @@
                 sent.pop_front();
             CHECK(static_cast<double>(sent.size()) <= rate * 4 * 1.5 + 5);
         }
-        const auto seconds = std::chrono::duration<double> { clock.now() - begun }.count();
+        const auto seconds = std::chrono::duration<double> { clock.now() - started }.count();
         CHECK(total >= rate * seconds * 0.9);
     }
 }
 
-TEST_CASE("The latest word counts, whoever brings it")
+TEST_CASE("The latest advertised rate applies, in any order of arrival")
 {
     auto clock = ManualClock {};
     const auto first = clock.now();
@@ -65,7 +65,7 @@
     CHECK_FALSE(limiter.isLimited());
 }
 
-TEST_CASE("Those who may not go are told to come one after another, and not too late")
+TEST_CASE("Refused requests get increasing retry times, up to a bound")
 {
     auto clock = ManualClock {};
     const auto now = clock.now();
@@ -75,10 +75,10 @@
     CHECK(limiter.assignRetryAfter(now) == 500ms);
     CHECK(limiter.assignRetryAfter(now) == 1000ms);
     for (auto i = 0; i < 20; ++i)
-        CHECK(limiter.assignRetryAfter(now) <= RateLimiterOptions {}.latestReturn);
+        CHECK(limiter.assignRetryAfter(now) <= RateLimiterOptions {}.maxRetryAfter);
 }
 
-TEST_CASE("An endpoint that takes none is asked now and then whether it still does")
+TEST_CASE("An endpoint that advertises a rate of zero is probed now and then")
 {
     auto clock = ManualClock {};
     auto limiter = RateLimiter {};
--- a/policy/testing/tst_retry.cpp
+++ b/policy/testing/tst_retry.cpp
@@ -1,4 +1,4 @@
-// The retry budget, against a plain ledger of what it granted.
+// Tests the retry budget against a reference that counts the tokens granted.
 
 #include "policy/retry.h"
 
@@ -19,15 +19,15 @@
 
 } // namespace
 
-TEST_CASE("what may have run and may not be repeated is never tried again")
+TEST_CASE("an attempt that may have run is never retried unless its request is repeatable")
 {
     auto budget = RetryBudget { {}, 1 };
     CHECK_FALSE(budget.next({ 1, false, true, anyTime }, 0));
-    CHECK(budget.next({ 1, false, false, anyTime }, 0)); // Certain not to have run.
+    CHECK(budget.next({ 1, false, false, anyTime }, 0)); // It certainly did not run.
     CHECK(budget.next({ 1, true, true, anyTime }, 0));
 }
 
-TEST_CASE("attempts are bounded, and none is made past the last useful start")
+TEST_CASE("attempts are bounded, and none starts past the latest start")
 {
     auto budget = RetryBudget { {}, 1 };
     CHECK(budget.next(repeatableAttempt(2), 0));
@@ -37,7 +37,7 @@
     CHECK(budget.left() == before);
 }
 
-TEST_CASE("retries stay a bounded part of requests however much fails")
+TEST_CASE("retries stay a bounded fraction of requests however much fails")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 50; ++seed) {
         auto random = Random { seed };
@@ -45,7 +45,7 @@
         options.perRequest = 0.05 + 0.2 * random.unit();
         options.capacity = static_cast<double>(1 + random.below(30));
         auto budget = RetryBudget { options, seed };
-        auto ledger = options.capacity; // The reference: what is left to grant.
+        auto ledger = options.capacity; // The reference: tokens left.
         for (auto step = 0; step < 5000; ++step) {
             if (random.chance(0.5)) {
                 budget.onRequest();
@@ -73,7 +73,7 @@
     }
 }
 
-TEST_CASE("requests that failed together come back spread out")
+TEST_CASE("requests that failed together are retried at different times")
 {
     auto options = RetryOptions {};
     options.capacity = 10000;
--- a/policy/valuation.cpp
+++ b/policy/valuation.cpp
@@ -1,6 +1,6 @@
-// ratio = use rate * (price of a miss * misses a cold start costs) / share of an
-// endpoint's accelerators. A base is also worth what its adapters gain from
-// finding it loaded: their cold start then is the adapter's load alone.
+// ratio = use rate * (price of a miss * misses caused by a cold start) / share of an endpoint's
+// accelerators. A base is also worth what its adapters gain when it is loaded: their cold start
+// then is the load of the adapter alone.
 
 #include "policy/valuation.h"
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr auto shareKeep = 0.97;   ///< Decay of a model's shares by class, an arrival.
-constexpr auto priorKeep = 0.9995; ///< Decay of a class's gap counts, a gap.
-constexpr auto countedOnce = std::uint32_t { 16 }; ///< Of one burst, for the price.
+constexpr auto shareDecay = 0.97;   ///< Decay of a model's class shares, per arrival.
+constexpr auto priorDecay = 0.9995; ///< Decay of a class's gap counts, per gap.
+constexpr auto maxCountedArrivals = std::uint32_t { 16 }; ///< Per burst, for the price.
 
 } // namespace
 
@@ -46,14 +46,14 @@
     auto &state = classes_[classId];
     const auto gap = model.history.note(count, now);
     if (gap >= 0)
-        state.gaps.add(gap, priorKeep);
+        state.gaps.add(gap, priorDecay);
     for (auto &[id, share] : model.classShare)
-        share *= shareKeep;
+        share *= shareDecay;
     model.classShare[classId] += count;
     model.arrivals += count;
     const auto cold = fleet_.counts(model).ready == 0;
     const auto missed = cold && coldStart(model, now) > state.target.start;
-    for (auto i = std::uint32_t { 0 }; i < std::min(count, countedOnce); ++i)
+    for (auto i = std::uint32_t { 0 }; i < std::min(count, maxCountedArrivals); ++i)
         state.price.note(missed, 1.0 - state.target.share);
 }
 
@@ -102,7 +102,8 @@
         const auto own = loadHere(*adapter, now);
         rate += useRate(*adapter, spent, now) * savedWorth(*adapter, cold + own, own);
     }
-    // Of the endpoint it is on, or of any: fleets are alike enough for a price.
+    // Use the memory and accelerators of an endpoint that holds the model, or else of any endpoint:
+    // endpoints are similar enough for a price.
     const EndpointRow *holder = nullptr;
     if (!model.replicas.empty())
         holder = fleet_.findEndpoint(model.replicas.begin()->first);
--- a/policy/valuation.h
+++ b/policy/valuation.h
@@ -1,9 +1,9 @@
-// What a warm replica is worth: expected target misses saved, at each class's
-// price, against the accelerator time it takes.
+// Computes what a warm replica is worth: the expected target misses saved, at each class's
+// price, relative to the accelerator time it takes.
 //
 //   auto value = Valuation { fleet, times };
 //   value.setClass(target); value.noteArrivals(row, classId, count, now);
-//   if (value.keepRatio(row, spent, now) < 1) ... let it go
+//   if (value.keepRatio(row, spent, now) < 1) ... unload it
 //
 // Holds the classes' targets, prices and shared histograms of gaps.
 
@@ -25,14 +25,15 @@
     { }
     auto setClass(const ClassTarget &target) -> void { classes_[target.id].target = target; }
     auto removeClass(const ClassId &id) -> void { classes_.erase(id); }
-    /// Arrivals of a class for a model: teaches its history, the class's gaps and price.
+    /// Records arrivals of a class for a model in the model's history, the class's gaps and price.
     auto noteArrivals(ModelRow &model, const ClassId &classId, std::uint32_t count, Millis now)
             -> void;
     /// @return ms until a request for a model without a ready replica could start
     auto coldStart(const ModelRow &model, Millis now) const -> Millis;
-    /// The worth of having the model warm for the best span ahead, over what that costs.
-    /// @param spent ms of accelerator time paid beforehand whatever comes
-    /// @return above 1: worth it
+    /// Computes the ratio of the worth of keeping the model warm over the best future span to its
+    /// cost.
+    /// @param spent ms of accelerator time spent in advance in any case
+    /// @return above 1 when keeping it is worth the cost
     auto keepRatio(const ModelRow &model, double spent, Millis now) const -> double;
 
 private:
--- a/policy/waiting.cpp
+++ b/policy/waiting.cpp
@@ -1,6 +1,6 @@
-// A fluid model: busy slots come free evenly, totalSlots in each service time; a load
-// adds its slots, all free, when it is done. Loads are at most two steps (those under
-// way, those that could still be decided), so a prediction costs constant time.
+// A fluid model: busy slots become free evenly, totalSlots in each service time, and a load adds
+// its slots, all free, when it is done. There are at most two steps for loads (those in progress
+// and those that could still be decided), so a prediction takes constant time.
 
 #include "policy/waiting.h"
 
@@ -17,7 +17,7 @@
     double slots = 0;
 };
 
-/// The two times at which further slots appear, in order.
+/// Returns the two times at which further slots become available, in order.
 auto capacitySteps(const ModelView &view, Millis now, double share) -> std::array<Step, 2>
 {
     const auto perReplica = share * std::max<std::uint32_t>(view.slotsPerReplica, 1);
@@ -30,8 +30,9 @@
     return { added, loading };
 }
 
-/// Nothing is ready or on the way: the demand now queued is what decides the loads.
-auto awaitsWakeUp(const ModelView &view) -> bool
+/// Returns true when nothing is ready or being loaded, so that the queued demand determines the
+/// number of loads.
+auto isUnloaded(const ModelView &view) -> bool
 {
     return view.ready == 0 && view.loading == 0;
 }
@@ -53,7 +54,7 @@
 auto predictStart(const ModelView &view, std::size_t ahead, Millis assumedServiceTime, Millis now,
                   double share) -> Millis
 {
-    if (awaitsWakeUp(view))
+    if (isUnloaded(view))
         return view.canEverLoad ? now + view.predictedLoad : never;
     if (ahead < view.freeSlots)
         return now;
@@ -85,9 +86,9 @@
         waited_ += static_cast<double>(std::max<Millis>(now - at_, 0));
     waits_ = waits;
     at_ = now;
-    constexpr auto mostWaited = 20000.0;
-    constexpr auto mostPops = 32.0;
-    if (waited_ < mostWaited && pops_ < mostPops)
+    constexpr auto maxWaited = 20000.0;
+    constexpr auto maxPops = 32.0;
+    if (waited_ < maxWaited && pops_ < maxPops)
         return;
     waited_ /= 2;
     pops_ /= 2;
@@ -103,17 +104,18 @@
     pops_ += 1;
 }
 
-auto DrainShare::onPutBack() -> void
+auto DrainShare::onRequeue() -> void
 {
     pops_ = std::max(pops_ - 1, 0.0);
 }
 
 auto DrainShare::value(double nominal) const -> double
 {
-    constexpr auto assumedPops = 4.0; // At the nominal rate, until there are measured ones.
-    constexpr auto least = 1.0 / 1024;
+    constexpr auto assumedPops
+            = 4.0; // Pseudo-count at the nominal rate, until enough are measured.
+    constexpr auto minShare = 1.0 / 1024;
     const auto measured = (waited_ + assumedPops * nominal) / (pops_ + assumedPops);
-    return std::clamp(nominal / std::max(measured, nominal), least, 1.0);
+    return std::clamp(nominal / std::max(measured, nominal), minShare, 1.0);
 }
 
 } // namespace figrack::policy
