--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -248,7 +248,8 @@
     });
 }
 
-/// Returns the worth of keeping an idle replica, per MiB. Replicas are evicted in this order.
+/// Returns the worth of keeping an idle replica, per MiB. Replicas with the lowest worth are
+/// evicted first.
 auto Planner::Impl::keepWorth(const ModelRow &model, const ReplicaRow &replica, Millis now) const
         -> double
 {
--- a/policy/waiting.cpp
+++ b/policy/waiting.cpp
@@ -111,8 +111,7 @@
 
 auto DrainShare::value(double nominal) const -> double
 {
-    constexpr auto assumedPops
-            = 4.0; // Pseudo-count at the nominal rate, until enough are measured.
+    constexpr auto assumedPops = 4.0; // Pseudo-count at the nominal rate.
     constexpr auto minShare = 1.0 / 1024;
     const auto measured = (waited_ + assumedPops * nominal) / (pops_ + assumedPops);
     return std::clamp(nominal / std::max(measured, nominal), minShare, 1.0);
