--- a/policy/retry.cpp
+++ b/policy/retry.cpp
@@ -1,6 +1,6 @@
-// The delay is drawn uniformly from nothing to its bound ("full jitter"): of the usual ways
-// it spreads a burst widest for the same longest wait. A delay that would end past the last
-// useful start means no retry, and takes no token.
+// The delay is drawn uniformly from zero to its bound ("full jitter"): of the usual methods it
+// spreads a burst widest for the same maximum delay. If the delay would end past the last useful
+// start, there is no retry and no token is taken.
 
 #include "policy/retry.h"
 
@@ -37,7 +37,7 @@
     const auto doublings = std::min(std::max(attempt.attempts, 1U) - 1, mostDoublings);
     const auto bound = std::min(options_.firstDelay << doublings, options_.maxDelay);
     const auto delay = static_cast<Millis>(random_.below(static_cast<std::uint64_t>(bound) + 1));
-    if (now + delay > attempt.lastStart)
+    if (now + delay > attempt.latestStart)
         return std::nullopt;
     tokens_ -= 1;
     FIGRACK_CHECK(attempt.repeatable || !attempt.mayHaveRun,
--- a/router/dispatch.cpp
+++ b/router/dispatch.cpp
@@ -280,7 +280,7 @@
     attempt.repeatable = work_.repeatable;
     // Data already sent on a stream cannot be withdrawn, even if this round ran nothing.
     attempt.mayHaveRun = round.end != RoundEnd::NotRun || outcome_.headSent;
-    attempt.lastStart = nowMs + remainingWait();
+    attempt.latestStart = nowMs + remainingWait();
     return owner_.budget_.next(attempt, nowMs);
 }
 
