--- a/fleet/announcements.cpp
+++ b/fleet/announcements.cpp
@@ -21,22 +21,22 @@
     , metrics_(metrics)
 { }
 
-auto Announcements::hear(const catalogue::EndpointRow &row, const Document &newest, Done done)
-        -> void
+auto Announcements::onAnnouncement(const catalogue::EndpointRow &row, const Document &newest,
+                                   Done done) -> void
 {
     if (!services_.knows(row.service, newest)) {
         auto status = makeError(ErrorKind::BadRequest, "service=" + row.service.value());
         refuse(status);
         done(std::move(status));
     } else if (row.state == catalogue::EndpointState::Ready) {
-        registry_.hear(row);
+        registry_.onAnnouncement(row);
         done(absl::OkStatus());
     } else {
-        registry_.hearLeaving(row, std::move(done));
+        registry_.onLeaving(row, std::move(done));
     }
 }
 
-auto Announcements::hearGone(const EndpointId &id, Done done) -> void
+auto Announcements::onDeregistration(const EndpointId &id, Done done) -> void
 {
     const auto *known = registry_.find(id);
     if (known == nullptr && id.incarnation() == Incarnation {})
@@ -45,7 +45,7 @@
     if (known == nullptr)
         row.id = id;
     row.state = catalogue::EndpointState::Gone;
-    registry_.hearLeaving(row, std::move(done));
+    registry_.onLeaving(row, std::move(done));
 }
 
 auto Announcements::refuse(const absl::Status &reason) -> void
--- a/fleet/announcements.h
+++ b/fleet/announcements.h
@@ -1,7 +1,7 @@
 // What endpoints say of themselves, taken in or refused.
 //
 //   announcements.hear(row, newestDocument, done);
-//   announcements.hearGone(id, done);
+//   announcements.onDeregistration(id, done);
 //   announcements.refuse(status);               // what could not be read at all
 //
 // Anybody may write to a control: a row for a service that no configuration names
@@ -33,9 +33,10 @@
     /// @param newest the newest document that is known
     /// @param done called once: OK when the row was taken in and, of one that leaves, no gateway
     /// sends new work there; BadRequest when its service is in no configuration; else NoQuorum
-    auto hear(const catalogue::EndpointRow &row, const Document &newest, Done done) -> void;
+    auto onAnnouncement(const catalogue::EndpointRow &row, const Document &newest, Done done)
+            -> void;
     /// An endpoint says that it is gone. @param id without an incarnation: the one in use
-    auto hearGone(const EndpointId &id, Done done) -> void;
+    auto onDeregistration(const EndpointId &id, Done done) -> void;
     /// Counts what cannot be used, and logs one line a second at most.
     auto refuse(const absl::Status &reason) -> void;
 
--- a/fleet/core.cpp
+++ b/fleet/core.cpp
@@ -13,13 +13,13 @@
 #include "core/error.h"
 #include "core/log.h"
 #include "fleet/announcements.h"
-#include "fleet/documentshelf.h"
-#include "fleet/documentspread.h"
+#include "fleet/documentrollout.h"
 #include "fleet/documentvoter.h"
 #include "fleet/lastknown.h"
 #include "fleet/loadguard.h"
 #include "fleet/metrics.h"
 #include "fleet/proposals.h"
+#include "fleet/recentdocuments.h"
 #include "fleet/suspectsync.h"
 #include "fleet/trials.h"
 
@@ -197,9 +197,9 @@
 
     auto registry() -> Registry & { return registry_; }
 
-    auto hear(const catalogue::EndpointRow &row, Done done) -> void
+    auto onAnnouncement(const catalogue::EndpointRow &row, Done done) -> void
     {
-        announcements_.hear(row, newestDocument(), std::move(done));
+        announcements_.onAnnouncement(row, newestDocument(), std::move(done));
     }
 
     auto announcements() -> Announcements & { return announcements_; }
@@ -515,7 +515,7 @@
             transport_->setPeers(members_);
         }
         auto group = GroupView {};
-        shelf_.hold(newestDocument());
+        shelf_.addDocument(newestDocument());
         group.document = newestDocument().version;
         group.leader = now.leader;
         group.term = now.term;
@@ -751,7 +751,7 @@
     LastKnownStore lastKnown_;
     Document recalled_; ///< What was applied here before the start.
     ConfigLog log_;
-    DocumentShelf shelf_;
+    RecentDocuments shelf_;
     Metrics metrics_;
     DocumentSpread spread_;
     Registry registry_;
@@ -838,17 +838,17 @@
     return impl_->registry();
 }
 
-auto Core::hear(const catalogue::EndpointRow &row, Done done) -> void
+auto Core::onAnnouncement(const catalogue::EndpointRow &row, Done done) -> void
 {
-    impl_->hear(row, std::move(done));
+    impl_->onAnnouncement(row, std::move(done));
 }
 
-auto Core::hearGone(const EndpointId &id, Done done) -> void
+auto Core::onDeregistration(const EndpointId &id, Done done) -> void
 {
-    impl_->announcements().hearGone(id, std::move(done));
+    impl_->announcements().onDeregistration(id, std::move(done));
 }
 
-auto Core::noteRefused(const absl::Status &reason) -> void
+auto Core::onBadAnnouncement(const absl::Status &reason) -> void
 {
     impl_->announcements().refuse(reason);
 }
--- a/fleet/core.h
+++ b/fleet/core.h
@@ -107,11 +107,11 @@
     /// An endpoint's announcement. @param row as decoded
     /// @param done called once: OK when it was taken in and, of one that leaves, no gateway sends
     /// new work there; BadRequest when its service is in no configuration; else NoQuorum
-    auto hear(const catalogue::EndpointRow &row, Done done) -> void;
+    auto onAnnouncement(const catalogue::EndpointRow &row, Done done) -> void;
     /// An endpoint says that it is gone. @param id without an incarnation: the one in use
-    auto hearGone(const EndpointId &id, Done done) -> void;
+    auto onDeregistration(const EndpointId &id, Done done) -> void;
     /// What somebody said of an endpoint could not be read.
-    auto noteRefused(const absl::Status &reason) -> void;
+    auto onBadAnnouncement(const absl::Status &reason) -> void;
     auto metricsPage() -> std::string;
     /// @return true while an order may leave: this control leads and its lease holds
     auto mayOrder() const -> bool;
--- a/fleet/documentspread.cpp
+++ b/fleet/documentrollout.cpp
@@ -1,4 +1,4 @@
-#include "fleet/documentspread.h"
+#include "fleet/documentrollout.h"
 
 #include <algorithm>
 #include <utility>
--- a/fleet/documentspread.h
+++ b/fleet/documentrollout.h
@@ -13,8 +13,8 @@
 // gateways have told the new one. Not thread-safe; done is called from settle(),
 // onInForce() and onLost().
 
-#ifndef FIGRACK_FLEET_DOCUMENTSPREAD_H
-#define FIGRACK_FLEET_DOCUMENTSPREAD_H
+#ifndef FIGRACK_FLEET_DOCUMENTROLLOUT_H
+#define FIGRACK_FLEET_DOCUMENTROLLOUT_H
 
 #include <functional>
 #include <map>
@@ -71,4 +71,4 @@
 
 } // namespace figrack::fleet
 
-#endif // FIGRACK_FLEET_DOCUMENTSPREAD_H
+#endif // FIGRACK_FLEET_DOCUMENTROLLOUT_H
--- a/fleet/documentshelf.cpp
+++ b/fleet/recentdocuments.cpp
@@ -1,4 +1,4 @@
-#include "fleet/documentshelf.h"
+#include "fleet/recentdocuments.h"
 
 #include <utility>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-auto DocumentShelf::hold(const Document &document) -> void
+auto RecentDocuments::addDocument(const Document &document) -> void
 {
     if (!manifests_.empty() && manifests_.back().version == document.version)
         return;
@@ -29,12 +29,12 @@
         dropOldest();
 }
 
-auto DocumentShelf::manifest() const -> proto::ManifestReply
+auto RecentDocuments::manifest() const -> proto::ManifestReply
 {
     return manifests_.empty() ? proto::ManifestReply {} : manifests_.back();
 }
 
-auto DocumentShelf::blocks(const proto::BlocksRequest &request) const -> proto::BlocksReply
+auto RecentDocuments::blocks(const proto::BlocksRequest &request) const -> proto::BlocksReply
 {
     auto reply = proto::BlocksReply {};
     auto bytes = std::size_t { 0 };
@@ -50,7 +50,7 @@
     return reply;
 }
 
-auto DocumentShelf::dropOldest() -> void
+auto RecentDocuments::dropOldest() -> void
 {
     for (const auto &ref : manifests_.front().blocks) {
         const auto found = blocks_.find(ref.id);
--- a/fleet/documentshelf.h
+++ b/fleet/recentdocuments.h
@@ -10,8 +10,8 @@
 //
 // Not thread-safe.
 
-#ifndef FIGRACK_FLEET_DOCUMENTSHELF_H
-#define FIGRACK_FLEET_DOCUMENTSHELF_H
+#ifndef FIGRACK_FLEET_RECENTDOCUMENTS_H
+#define FIGRACK_FLEET_RECENTDOCUMENTS_H
 
 #include <cstdint>
 #include <deque>
@@ -25,11 +25,11 @@
 
 namespace figrack::fleet {
 
-class DocumentShelf
+class RecentDocuments
 {
 public:
     /// Does nothing with the version that is held. @param document the newest one
-    auto hold(const Document &document) -> void;
+    auto addDocument(const Document &document) -> void;
     /// @return of the newest document; version 0 without one
     auto manifest() const -> proto::ManifestReply;
     /// @return those asked for that are held, as many as fit one reply
@@ -50,4 +50,4 @@
 
 } // namespace figrack::fleet
 
-#endif // FIGRACK_FLEET_DOCUMENTSHELF_H
+#endif // FIGRACK_FLEET_RECENTDOCUMENTS_H
--- a/fleet/registry.cpp
+++ b/fleet/registry.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-auto Registry::hear(const EndpointRow &row) -> void
+auto Registry::onAnnouncement(const EndpointRow &row) -> void
 {
     if (isIgnored(row)) {
         LogEvent(LogLevel::Info, "old_incarnation_ignored")
@@ -138,9 +138,9 @@
         fresh_.insert(row.id);
 }
 
-auto Registry::hearLeaving(const EndpointRow &row, Done done) -> void
+auto Registry::onLeaving(const EndpointRow &row, Done done) -> void
 {
-    hear(row);
+    onAnnouncement(row);
     if (!known_.contains(row.id) || isOver(row.id)) {
         done(absl::OkStatus()); // No gateway sends there: it is another incarnation's place.
         return;
--- a/fleet/registry.h
+++ b/fleet/registry.h
@@ -2,7 +2,7 @@
 //
 //   registry.onSubscribe(peer, subscribe);           // gateways and other controls
 //   registry.hear(row);                              // an announcement
-//   registry.hearLeaving(id, done);                  // done(OK): no gateway sends there any more
+//   registry.onLeaving(id, done);                  // done(OK): no gateway sends there any more
 //   registry.tick();
 //
 // News of an endpoint that leaves goes to every subscriber at once, other news
@@ -107,11 +107,11 @@
     /// Endpoints that were known before a restart, until they announce themselves or recallFor has
     /// passed. Call before anything else.
     auto recall(std::vector<catalogue::EndpointRow> endpoints) -> void;
-    /// An announcement. A draining one is also told by hearLeaving().
-    auto hear(const catalogue::EndpointRow &row) -> void;
+    /// An announcement. A draining one is also told by onLeaving().
+    auto onAnnouncement(const catalogue::EndpointRow &row) -> void;
     /// @param row the announcement that says so, or what is known with the state changed
     /// @param done called once: OK when no gateway sends new work there any more, else NoQuorum
-    auto hearLeaving(const catalogue::EndpointRow &row, Done done) -> void;
+    auto onLeaving(const catalogue::EndpointRow &row, Done done) -> void;
     /// Changes what is known of an endpoint after an order, until its next announcement.
     auto amend(const EndpointId &id, const std::function<void(catalogue::EndpointRow &)> &change)
             -> void;
--- a/fleet/testing/tst_announcements.cpp
+++ b/fleet/testing/tst_announcements.cpp
@@ -27,19 +27,21 @@
         result.services.push_back(service);
         return result;
     }
-    auto hear(const std::string &id, const std::string &service, EndpointState state) -> void
+    auto onAnnouncement(const std::string &id, const std::string &service, EndpointState state)
+            -> void
     {
         auto row = catalogue::EndpointRow {};
         row.id = EndpointId { id };
         row.service = ServiceId { service };
         row.sequence = 1;
         row.state = state;
-        announcements.hear(row, { Revision { 1 }, "llm" },
-                           [this](absl::Status status) { last = std::move(status); });
+        announcements.onAnnouncement(row, { Revision { 1 }, "llm" },
+                                     [this](absl::Status status) { last = std::move(status); });
     }
-    auto hearGone(const EndpointId &id) -> void
+    auto onDeregistration(const EndpointId &id) -> void
     {
-        announcements.hearGone(id, [this](absl::Status status) { last = std::move(status); });
+        announcements.onDeregistration(id,
+                                       [this](absl::Status status) { last = std::move(status); });
     }
     auto stateOf(const char *id) const -> EndpointState
     {
@@ -53,11 +55,11 @@
 TEST_CASE("Who announces itself for a service that no configuration names is counted and refused")
 {
     auto rig = AnnouncementsRig {};
-    rig.hear("i-1", "llm", EndpointState::Ready);
+    rig.onAnnouncement("i-1", "llm", EndpointState::Ready);
     CHECK(rig.last.ok());
-    rig.hear("i-2", "other", EndpointState::Ready);
+    rig.onAnnouncement("i-2", "other", EndpointState::Ready);
     CHECK(errorKind(rig.last) == ErrorKind::BadRequest);
-    rig.hear("i-1", "other", EndpointState::Draining);
+    rig.onAnnouncement("i-1", "other", EndpointState::Draining);
     CHECK(errorKind(rig.last) == ErrorKind::BadRequest);
     CHECK(rig.registry.rows().size() == 1);
     CHECK(rig.stateOf("i-1") == EndpointState::Ready);
@@ -67,12 +69,12 @@
 TEST_CASE("A deregistration is of the incarnation that it names, without one of that in use")
 {
     auto rig = AnnouncementsRig {};
-    rig.hear("i-1#100", "llm", EndpointState::Ready);
-    rig.hear("i-1#200", "llm", EndpointState::Ready);
-    rig.hearGone(EndpointId { "i-1#100" });
+    rig.onAnnouncement("i-1#100", "llm", EndpointState::Ready);
+    rig.onAnnouncement("i-1#200", "llm", EndpointState::Ready);
+    rig.onDeregistration(EndpointId { "i-1#100" });
     CHECK(rig.stateOf("i-1#200") == EndpointState::Ready);
-    rig.hearGone(EndpointId { "i-1#50" });
+    rig.onDeregistration(EndpointId { "i-1#50" });
     CHECK(rig.stateOf("i-1#200") == EndpointState::Ready);
-    rig.hearGone(EndpointId { "i-1" });
+    rig.onDeregistration(EndpointId { "i-1" });
     CHECK(rig.stateOf("i-1#200") == EndpointState::Gone);
 }
--- a/fleet/testing/tst_documentspread.cpp
+++ b/fleet/testing/tst_documentrollout.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-#include "fleet/documentspread.h"
+#include "fleet/documentrollout.h"
 #include "fleet/testing/fakepeer.h"
 
 using namespace figrack;
--- a/fleet/testing/tst_orders.cpp
+++ b/fleet/testing/tst_orders.cpp
@@ -55,7 +55,7 @@
         row.id = id;
         row.service = ServiceId { "s" };
         row.sequence = 1;
-        registry.hear(row);
+        registry.onAnnouncement(row);
         port.send = [this](const catalogue::EndpointRow &, ModelOrder order) {
             return answer(std::move(order));
         };
@@ -150,7 +150,7 @@
         auto row = *registry.find(id);
         ++row.sequence;
         row.state = catalogue::EndpointState::Gone;
-        registry.hear(row);
+        registry.onAnnouncement(row);
         registry.tick();
     }
 
@@ -160,7 +160,7 @@
         ++row.sequence;
         row.orderVersion = 0;
         row.models = engine.models;
-        registry.hear(row);
+        registry.onAnnouncement(row);
     }
 
     boost::asio::io_context context { 1 };
@@ -359,7 +359,7 @@
     row.id = EndpointId { std::string { rig.id.name() }, rig.engine.incarnation };
     row.sequence = 1;
     row.models.clear();
-    rig.registry.hear(row);
+    rig.registry.onAnnouncement(row);
     return row.id;
 }
 
@@ -423,7 +423,7 @@
             auto row = *rig.registry.find(rig.id);
             row.state = catalogue::EndpointState::Gone;
             ++row.sequence;
-            rig.registry.hear(row);
+            rig.registry.onAnnouncement(row);
         };
         rig.run({ load("a") });
         CHECK(rig.endedUnder.empty());
--- a/fleet/testing/tst_registry.cpp
+++ b/fleet/testing/tst_registry.cpp
@@ -55,7 +55,7 @@
     }
     auto leave(const catalogue::EndpointRow &row) -> void
     {
-        registry.hearLeaving(row, [this](const absl::Status &status) { ends.push_back(status); });
+        registry.onLeaving(row, [this](const absl::Status &status) { ends.push_back(status); });
     }
 };
 
@@ -75,7 +75,7 @@
         // For two seconds an endpoint changes in each tick, and another control tells of another.
         auto worst = Duration {};
         for (auto i = 1; i <= 100; ++i) {
-            rig.registry.hear(makeRow("e1", i, EndpointState::Ready));
+            rig.registry.onAnnouncement(makeRow("e1", i, EndpointState::Ready));
             rig.registry.amend(EndpointId { "e1" }, [i](auto &row) {
                 row.models = { { ModelId { "m" + std::to_string(i) }, {} } };
             });
@@ -123,7 +123,7 @@
                     ++relays[row.id.value()];
             }
             // What it has heard itself it tells in any case.
-            registry.hear(makeRow("e1", 2, EndpointState::Ready));
+            registry.onAnnouncement(makeRow("e1", 2, EndpointState::Ready));
             registry.amend(EndpointId { "e1" }, [](auto &row) { row.models = { {} }; });
             clock.advance(1s);
             registry.tick();
@@ -151,7 +151,7 @@
             peers.back()->bodies.clear();
         }
         rig.clock.advance(2s);
-        rig.registry.hear(makeRow("e1", 1, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("e1", 1, EndpointState::Ready));
         rig.registry.tick(); // The row, and that it was heard.
         rig.registry.tellLoads({ { EndpointId { "e1" }, 3 } });
         rig.leave(makeRow("e1", 2, EndpointState::Draining));
@@ -174,11 +174,11 @@
 TEST_CASE("A subscriber gets all that is known, then what changes")
 {
     auto rig = RegistryRig {};
-    rig.registry.hear(makeRow("i-1", 1, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1", 1, EndpointState::Ready));
     rig.subscribe(rig.gateway);
     REQUIRE(rig.gateway->updates.size() == 1);
     CHECK(rig.gateway->updates[0].endpoints.size() == 1);
-    rig.registry.hear(makeRow("i-1", 2, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1", 2, EndpointState::Ready));
     CHECK(rig.gateway->updates.size() == 1);
     rig.registry.tick();
     CHECK(rig.gateway->updates.back().beats.size() == 1);
@@ -388,7 +388,7 @@
                           makeRow("i-3", 7, EndpointState::Gone) });
     rig.subscribe(rig.gateway);
     REQUIRE(rig.gateway->updates.back().endpoints.size() == 2);
-    rig.registry.hear(makeRow("i-1", 8, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1", 8, EndpointState::Ready));
     rig.clock.advance(RegistryOptions {}.recallFor);
     rig.registry.tick();
     CHECK(rig.registry.find(EndpointId { "i-1" }) != nullptr);
@@ -410,8 +410,8 @@
     auto rig = RegistryRig {};
     rig.subscribe(rig.gateway);
     rig.clock.advance(2s);
-    rig.registry.hear(makeRow("i-1#100", 7, EndpointState::Ready));
-    rig.registry.hear(makeRow("i-1#200", 1, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1#100", 7, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1#200", 1, EndpointState::Ready));
     CHECK_FALSE(isReady(rig.registry, "i-1#100"));
     CHECK(isReady(rig.registry, "i-1#200"));
     rig.registry.tick();
@@ -425,8 +425,8 @@
 
     SUBCASE("ready")
     {
-        rig.registry.hear(makeRow("i-1#100", 8, EndpointState::Ready));
-        rig.registry.hear(makeRow("i-1#50", 8, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("i-1#100", 8, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("i-1#50", 8, EndpointState::Ready));
     }
     SUBCASE("draining and gone, acknowledged at once")
     {
@@ -453,7 +453,7 @@
     auto rig = RegistryRig {};
     rig.registry.recall({ makeRow("i-1#100", 7, EndpointState::Ready) });
     CHECK(isReady(rig.registry, "i-1#100"));
-    rig.registry.hear(makeRow("i-1#200", 1, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1#200", 1, EndpointState::Ready));
     CHECK_FALSE(isReady(rig.registry, "i-1#100"));
 }
 
@@ -462,14 +462,14 @@
         "An endpoint whose incarnation falls is taken when it goes on and the one before is silent")
 {
     auto rig = RegistryRig {};
-    rig.registry.hear(makeRow("i-1#200", 7, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1#200", 7, EndpointState::Ready));
     rig.clock.advance(20s);
     for (auto sequence = 1U; sequence <= 4; ++sequence) {
-        rig.registry.hear(makeRow("i-1#150", sequence, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("i-1#150", sequence, EndpointState::Ready));
         CHECK(isReady(rig.registry, "i-1#200"));
         rig.clock.advance(1200ms);
     }
-    rig.registry.hear(makeRow("i-1#150", 5, EndpointState::Ready));
+    rig.registry.onAnnouncement(makeRow("i-1#150", 5, EndpointState::Ready));
     CHECK_FALSE(isReady(rig.registry, "i-1#200"));
     CHECK(isReady(rig.registry, "i-1#150"));
 }
@@ -481,15 +481,15 @@
     rig.registry.recall({ makeRow("i-1#200", 7, EndpointState::Ready) });
     rig.clock.advance(2s);
     for (auto sequence = 1U; sequence <= 9; ++sequence) {
-        rig.registry.hear(makeRow("i-1#150", sequence, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("i-1#150", sequence, EndpointState::Ready));
         rig.clock.advance(100ms);
     }
     CHECK(isReady(rig.registry, "i-1#200"));
     // The live one is heard now and then: the other never passes.
     for (auto sequence = 8U; sequence <= 30; ++sequence) {
         if (sequence % 2 == 0)
-            rig.registry.hear(makeRow("i-1#200", sequence, EndpointState::Ready));
-        rig.registry.hear(makeRow("i-1#150", 10 + sequence, EndpointState::Ready));
+            rig.registry.onAnnouncement(makeRow("i-1#200", sequence, EndpointState::Ready));
+        rig.registry.onAnnouncement(makeRow("i-1#150", 10 + sequence, EndpointState::Ready));
         rig.clock.advance(1200ms);
         CHECK(isReady(rig.registry, "i-1#200"));
     }
@@ -545,7 +545,7 @@
             clock.advance(random.below(400) * 1ms);
             for (const auto &item : late) {
                 if (item.at <= clock.now()) {
-                    registries[item.control]->hear(item.row);
+                    registries[item.control]->onAnnouncement(item.row);
                     noteNewest(item.control);
                 }
             }
--- a/gateway/testing/tst_documentfetch.cpp
+++ b/gateway/testing/tst_documentfetch.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/random.h"
-#include "fleet/documentshelf.h"
+#include "fleet/recentdocuments.h"
 #include "gateway/documentfetch.h"
 
 using namespace figrack;
@@ -67,7 +67,7 @@
     auto publish(std::size_t index, Revision version) -> void
     {
         auto &control = controls_[index];
-        control.shelf.hold({ version, textOf(version) });
+        control.recentDocuments.addDocument({ version, textOf(version) });
         control.version = version;
         announce(index);
     }
@@ -119,7 +119,7 @@
     struct Control
     {
         Address address;
-        fleet::DocumentShelf shelf;
+        fleet::RecentDocuments recentDocuments;
         Revision version;
         Instant frozenUntil {};
         int connection = 0;
@@ -169,14 +169,14 @@
 
     auto answer(std::size_t index, const ManifestAsk & /*ask*/) -> void
     {
-        const auto reply = controls_[index].shelf.manifest();
+        const auto reply = controls_[index].recentDocuments.manifest();
         deliver(index, reply.blocks.size() * sizeof(catalogue::BlockRef),
                 [this, index, reply] { fetch_.onManifest(controls_[index].address, reply); });
     }
 
     auto answer(std::size_t index, const BlocksAsk &ask) -> void
     {
-        const auto reply = controls_[index].shelf.blocks({ ask.blocks });
+        const auto reply = controls_[index].recentDocuments.blocks({ ask.blocks });
         auto bytes = std::size_t { 0 };
         for (const auto &block : reply.blocks)
             bytes += block.size();
