--- a/fleet/accountledger.cpp
+++ b/fleet/accountledger.cpp
@@ -20,18 +20,18 @@
 } // namespace
 
 AccountLedger::AccountLedger(AccountLedgerOptions options, Registry &registry, const Clock &clock,
-                             Incarnation life)
+                             Incarnation incarnation)
     : options_(options)
     , registry_(registry)
     , clock_(clock)
-    , life_(life)
+    , incarnation_(incarnation)
     , limits_(options.limits, policy::millisOf(clock.now()))
     , heardAt_(clock.now())
 { }
 
-auto AccountLedger::isDeaf() const -> bool
+auto AccountLedger::isIsolated() const -> bool
 {
-    return clock_.now() - heardAt_ >= options_.deafAfter;
+    return clock_.now() - heardAt_ >= options_.isolatedAfter;
 }
 
 auto AccountLedger::refuse(const NodeId &gateway, const proto::PickRequest &request)
@@ -39,7 +39,7 @@
 {
     if (!request.charge || !request.charge->limit.isSet())
         return std::nullopt;
-    if (isDeaf())
+    if (isIsolated())
         return replyWith(proto::PickRefusal::CannotCount, 1);
     expire();
     const auto &charge = *request.charge;
@@ -105,21 +105,21 @@
     const auto at = clock_.now();
     if (hearsGroup)
         heardAt_ = at;
-    const auto deaf = isDeaf();
-    if (std::exchange(wasDeaf_, deaf) != deaf) {
-        LogEvent(LogLevel::Warning, deaf ? "accounts_not_counted" : "accounts_counted_anew")
+    const auto isolated = isIsolated();
+    if (std::exchange(wasIsolated_, isolated) != isolated) {
+        LogEvent(LogLevel::Warning, isolated ? "accounts_not_counted" : "accounts_counted_anew")
                 .with("accounts", static_cast<std::uint64_t>(limits_.size()));
         limits_.beginAnew(now());
     }
-    if (at < nextNews_)
+    if (at < nextReport_)
         return;
-    nextNews_ = at + options_.newsEvery;
+    nextReport_ = at + options_.reportInterval;
     if (auto rows = limits_.takeNews(now()); !rows.empty())
         registry_.push(proto::SubscriberKind::Control,
-                       proto::AccountNews { life_, std::move(rows) });
+                       proto::AccountNews { incarnation_, std::move(rows) });
 }
 
-/// What was not ended by its gateway within its time may have run.
+/// A request whose gateway did not report its end in time may have run, so it is not refunded.
 auto AccountLedger::expire() -> void
 {
     const auto at = clock_.now();
--- a/fleet/accountledger.h
+++ b/fleet/accountledger.h
@@ -1,14 +1,15 @@
-// Counts, beside the balancer, what requests of all gateways cost their accounts.
+// Counts the cost of all gateways' requests against their client accounts' limits.
 //
 //   if (auto refusal = ledger.refuse(gateway, request)) return *refusal;   // else it is counted
-//   ledger.onEnd(gateway, end);              // given back when it did not run
+//   ledger.onEnd(gateway, end);              // refunds a request that did not run
 //   ledger.onNews(control, news);            // what other controls have admitted
-//   ledger.tick(hearsGroup);                 // tells them what this one has
+//   ledger.tick(hearsGroup);                 // reports what this control has admitted
 //
-// A request is counted with its pick, which asks this control anyhow; no message of its
-// own is needed. Each control counts, since gateways turn to another one when the one
-// they asked does not answer (policy/accountlimits.h). A control that does not hear the
-// group counts for nobody: gateways ask the next one. Not thread-safe.
+// A request is counted when its gateway asks this control for an endpoint, so no
+// extra message is needed. Each control counts, because gateways turn to another
+// control when the one they asked does not answer (see policy/accountlimits.h). A
+// control that is isolated from its group refuses to count; gateways then ask the
+// next one. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_ACCOUNTLEDGER_H
 #define FIGRACK_FLEET_ACCOUNTLEDGER_H
@@ -27,31 +28,32 @@
 struct AccountLedgerOptions
 {
     policy::AccountLimitsOptions limits;
-    /// Between two pieces of news: the most that is admitted twice when gateways change the
-    /// control that they ask.
-    Duration newsEvery = std::chrono::milliseconds { 60 };
-    /// A control that knows no leader of the group for so long counts for nobody: it may be cut off
-    /// from the others, of whose admissions it would not hear.
-    Duration deafAfter = std::chrono::milliseconds { 300 };
+    /// Interval between two reports to the other controls. When gateways change the control that
+    /// they ask, what was admitted in this time may be admitted twice.
+    Duration reportInterval = std::chrono::milliseconds { 60 };
+    /// A control that has known no leader of its group for this time refuses to count: it may be
+    /// cut off from the other controls and miss their reports.
+    Duration isolatedAfter = std::chrono::milliseconds { 300 };
 };
 
 class AccountLedger
 {
 public:
-    /// @param life of this process, another one after each start @param registry outlives this
+    /// @param incarnation of this process; differs after each start
+    /// @param registry must outlive this object
     AccountLedger(AccountLedgerOptions options, Registry &registry, const Clock &clock,
-                  Incarnation life);
-    /// @return the refusal; nullopt: the request has no account with a limit, or it is counted
+                  Incarnation incarnation);
+    /// @return the refusal; nullopt: the request is counted, or its account has no limit
     auto refuse(const NodeId &gateway, const proto::PickRequest &request)
             -> std::optional<proto::PickReply>;
-    /// @return true when the request's account has used most of its limit of late
+    /// @return true when the request's account has recently used most of its limit
     auto isNearLimit(const proto::PickRequest &request) const -> bool;
-    /// The request was turned away for another reason.
+    /// Refunds a request that was refused for another reason.
     auto giveBack(const NodeId &gateway, std::uint64_t ticket) -> void;
     auto onEnd(const NodeId &gateway, const proto::PickEnd &end) -> void;
     auto onGatewayLost(const NodeId &gateway) -> void;
     auto onNews(const NodeId &control, const proto::AccountNews &news) -> void;
-    /// @param hearsGroup this control leads with a lease, or hears a leader
+    /// @param hearsGroup this control leads and holds its lease, or knows the leader
     auto tick(bool hearsGroup) -> void;
     auto limits() const -> const policy::AccountLimits & { return limits_; }
 
@@ -63,19 +65,19 @@
         Instant expiresAt {};
     };
     auto now() const -> policy::Millis { return policy::millisOf(clock_.now()); }
-    auto isDeaf() const -> bool;
+    auto isIsolated() const -> bool;
     auto expire() -> void;
 
     AccountLedgerOptions options_;
     Registry &registry_;
     const Clock &clock_;
-    Incarnation life_;
+    Incarnation incarnation_;
     policy::AccountLimits limits_;
     std::map<std::pair<NodeId, std::uint64_t>, Counted> counted_; ///< By gateway and ticket.
     Instant heardAt_;
-    Instant nextNews_ {};
+    Instant nextReport_ {};
     Instant nextExpiry_ {};
-    bool wasDeaf_ = false;
+    bool wasIsolated_ = false;
 };
 
 } // namespace figrack::fleet
--- a/fleet/admission.cpp
+++ b/fleet/admission.cpp
@@ -4,11 +4,12 @@
 
 namespace figrack::fleet {
 
-PlaceLimit::PlaceLimit(const PlaceLimitOptions &options)
+ConcurrencyLimit::ConcurrencyLimit(const ConcurrencyLimitOptions &options)
     : options_(options)
 { }
 
-auto PlaceLimit::admits(std::uint32_t running, std::uint32_t places, std::uint32_t rank) -> bool
+auto ConcurrencyLimit::admits(std::uint32_t running, std::uint32_t places, std::uint32_t rank)
+        -> bool
 {
     if (places == 0)
         return true;
@@ -16,42 +17,42 @@
         places_ = places;
         limit_ = places;
     }
-    const auto fits = running < limit_ * partOf(rank);
-    heldBack_ = heldBack_ || !fits;
+    const auto fits = running < limit_ * factorOf(rank);
+    hasRefused_ = hasRefused_ || !fits;
     return fits;
 }
 
-auto PlaceLimit::onEnd(bool isLate, std::uint32_t running, Instant now) -> void
+auto ConcurrencyLimit::onEnd(bool isLate, std::uint32_t running, Instant now) -> void
 {
     ++ends_;
     late_ += isLate ? 1 : 0;
-    if (now - judgedAt_ < options_.judgeEvery || ends_ < options_.fewestEnds)
+    if (now - adjustedAt_ < options_.adjustInterval || ends_ < options_.minEnds)
         return;
-    judgedAt_ = now;
-    judge(running);
+    adjustedAt_ = now;
+    adjust(running);
     ends_ = late_ = 0;
-    heldBack_ = false;
+    hasRefused_ = false;
 }
 
-auto PlaceLimit::judge(std::uint32_t running) -> void
+auto ConcurrencyLimit::adjust(std::uint32_t running) -> void
 {
     const auto late = late_ / static_cast<double>(ends_);
-    if (late > options_.manyLate)
-        limit_ = std::min(limit_, static_cast<double>(running)) * options_.cut;
-    else if (late < options_.fewLate && heldBack_)
-        limit_ += options_.raise;
-    limit_ = std::clamp(limit_, places_ * options_.least, places_);
+    if (late > options_.cutAboveLate)
+        limit_ = std::min(limit_, static_cast<double>(running)) * options_.cutFactor;
+    else if (late < options_.raiseBelowLate && hasRefused_)
+        limit_ += options_.raiseStep;
+    limit_ = std::clamp(limit_, places_ * options_.minShare, places_);
 }
 
-auto PlaceLimit::partOf(std::uint32_t rank) const -> double
+auto ConcurrencyLimit::factorOf(std::uint32_t rank) const -> double
 {
     switch (rank) {
     case 0:
-        return options_.urgentPart;
+        return options_.mostUrgentFactor;
     case 1:
-        return options_.nextPart;
+        return options_.nextUrgentFactor;
     default:
-        return options_.otherPart;
+        return options_.otherFactor;
     }
 }
 
--- a/fleet/announcements.cpp
+++ b/fleet/announcements.cpp
@@ -8,7 +8,7 @@
 namespace figrack::fleet {
 namespace {
 
-/// Between two lines of the log on what was refused.
+/// Minimum time between two log lines about refused messages.
 constexpr auto noteEvery = std::chrono::seconds { 1 };
 
 } // namespace
--- a/fleet/announcements.h
+++ b/fleet/announcements.h
@@ -1,11 +1,11 @@
-// What endpoints say of themselves, taken in or refused.
+// Accepts or refuses the messages that endpoints send about themselves.
 //
-//   announcements.hear(row, newestDocument, done);
+//   announcements.onAnnouncement(row, newestDocument, done);
 //   announcements.onDeregistration(id, done);
-//   announcements.refuse(status);               // what could not be read at all
+//   announcements.refuse(status);               // a message that could not be decoded
 //
-// Anybody may write to a control: a row for a service that no configuration names
-// is no endpoint's. Not thread-safe.
+// Anybody can write to a control. A row for a service that no configuration names
+// does not come from an endpoint and is refused. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_ANNOUNCEMENTS_H
 #define FIGRACK_FLEET_ANNOUNCEMENTS_H
@@ -27,17 +27,18 @@
 {
 public:
     using Done = std::function<void(absl::Status)>;
-    /// @param registry, clock and metrics outlive this
+    /// @param registry, clock and metrics must outlive this object
     Announcements(Registry &registry, KnownServices services, const Clock &clock, Metrics &metrics);
 
-    /// @param newest the newest document that is known
-    /// @param done called once: OK when the row was taken in and, of one that leaves, no gateway
-    /// sends new work there; BadRequest when its service is in no configuration; else NoQuorum
+    /// @param newest the newest known document
+    /// @param done called once: OK when the row was accepted and, if the endpoint is leaving, no
+    /// gateway sends it new work; BadRequest when no configuration names its service; otherwise
+    /// NoQuorum
     auto onAnnouncement(const catalogue::EndpointRow &row, const Document &newest, Done done)
             -> void;
-    /// An endpoint says that it is gone. @param id without an incarnation: the one in use
+    /// Handles an endpoint's deregistration. @param id without an incarnation: the one in use
     auto onDeregistration(const EndpointId &id, Done done) -> void;
-    /// Counts what cannot be used, and logs one line a second at most.
+    /// Counts a message that cannot be used, and logs at most one line a second.
     auto refuse(const absl::Status &reason) -> void;
 
 private:
@@ -46,7 +47,7 @@
     const Clock &clock_;
     Metrics &metrics_;
     Instant nextNote_ {};
-    std::uint64_t refused_ = 0; ///< Since the last line of the log on them.
+    std::uint64_t refused_ = 0; ///< Refused messages since the last log line about them.
 };
 
 } // namespace figrack::fleet
--- a/fleet/balancer.cpp
+++ b/fleet/balancer.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr auto expireEvery = std::chrono::seconds { 1 };
-/// Costs that differ by less are equal: half a round trip between failure domains.
-constexpr auto sameCost = 1.0;
+/// Costs that differ by less count as equal: half a round trip between failure domains.
+constexpr auto costTolerance = 1.0;
 
-/// @return the duration in milliseconds; 0 for one that is past
+/// @return the duration in milliseconds; 0 for a negative one
 auto positiveMillis(Duration duration) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(std::max(0.0, inMillis(duration)));
@@ -26,7 +26,7 @@
     : options_(options)
     , clock_(clock)
     , random_(random)
-    , stayMs_(inMillis(options.usualStay))
+    , occupancyMs_(inMillis(options.initialOccupancy))
 { }
 
 auto Balancer::endpointOf(const EndpointId &id) -> Endpoint &
@@ -50,28 +50,31 @@
     if (request.hasBegun)
         return true;
     return endpoint.limit.admits(endpoint.running, request.places, request.rank)
-            && !isReadBehind(endpoint, request);
+            && !exceedsReadQueue(endpoint, request);
 }
 
-/// Prompts beyond what rests leave room for would be read without any: all streams there pause, and
-/// the prompt is late all the same. Short ones stall nobody, and a plain service reads nothing.
-auto Balancer::isReadBehind(const Endpoint &endpoint, const proto::PickRequest &request) const
+/// More prompts than can be held back for decode intervals would be read without any: all streams
+/// there would pause, and the prompt would be late anyway. Short prompts delay no stream, and a
+/// plain service reads no prompts.
+auto Balancer::exceedsReadQueue(const Endpoint &endpoint, const proto::PickRequest &request) const
         -> bool
 {
     if (request.places == 0 || endpoint.running == 0)
         return false;
-    const auto wait = endpoint.readUntil + options_.rest - clock_.now();
+    const auto wait = endpoint.readUntil + options_.decodeInterval - clock_.now();
     return wait > longestHoldFor(request) && readTime(endpoint, request) > options_.shortRead;
 }
 
-/// Those that are refused are told to come back one after another, as places are given up.
-auto Balancer::turnAway(const proto::PickRequest &request) -> proto::PickReply
+/// Callers of refused requests are told to retry one after another, at the rate at which places
+/// become free.
+auto Balancer::refuseNoRoom(const proto::PickRequest &request) -> proto::PickReply
 {
     const auto now = clock_.now();
-    auto &last = returns_.try_emplace(request.model, now).first->second;
+    auto &last = lastRetryAt_.try_emplace(request.model, now).first->second;
     const auto places = static_cast<double>(request.places * request.candidates.size());
-    const auto next = std::max(last, now + options_.soonestReturn) + fromMillis(stayMs_ / places);
-    last = std::min(next, now + options_.latestReturn);
+    const auto next
+            = std::max(last, now + options_.minRetryAfter) + fromMillis(occupancyMs_ / places);
+    last = std::min(next, now + options_.maxRetryAfter);
     auto reply = proto::PickReply {};
     reply.comeBackMs = positiveMillis(last - now);
     reply.refusal = proto::PickRefusal::NoRoom;
@@ -85,7 +88,7 @@
                        [&](const auto &id) { return !endpoints_.at(id).rate.allows(now); });
 }
 
-auto Balancer::turnAwayForRate(const proto::PickRequest &request) -> proto::PickReply
+auto Balancer::refuseRateUsed(const proto::PickRequest &request) -> proto::PickReply
 {
     const auto now = clock_.now();
     auto *soonest = &endpoints_.at(request.candidates.front()).rate;
@@ -112,8 +115,8 @@
         if (!hasRoom(endpoint, request))
             continue;
         const auto cost = costAt(endpoint, request);
-        if (best != nullptr && std::abs(cost - bestCost) < sameCost) {
-            // Each of the equals is drawn with the same chance.
+        if (best != nullptr && std::abs(cost - bestCost) < costTolerance) {
+            // Reservoir sampling: each of the equal candidates is chosen with the same probability.
             if (random_.below(++equals) == 0)
                 best = &id;
         } else if (cost < bestCost) {
@@ -125,7 +128,7 @@
     if (request.candidates.empty())
         return {};
     if (best == nullptr)
-        return areRatesUsed(request) ? turnAwayForRate(request) : turnAway(request);
+        return areRatesUsed(request) ? refuseRateUsed(request) : refuseNoRoom(request);
     return book(gateway, request, *best);
 }
 
@@ -133,13 +136,13 @@
 {
     const auto now = clock_.now();
     const auto read = readTime(endpoint, request);
-    if (endpoint.readUntil + options_.rest <= now)
+    if (endpoint.readUntil + options_.decodeInterval <= now)
         return { now, now, now + read };
     auto slot = Slot { endpoint.readSince, std::max(endpoint.readUntil, now), {} };
-    const auto restEnd = endpoint.readUntil + options_.rest;
-    const auto isTooLong = slot.begin + read - endpoint.readSince > bearableFor(request);
-    if (isTooLong && endpoint.running > 0 && restEnd - now <= longestHoldFor(request))
-        slot.runBegin = slot.begin = restEnd;
+    const auto decodeIntervalEnd = endpoint.readUntil + options_.decodeInterval;
+    const auto isTooLong = slot.begin + read - endpoint.readSince > maxReadRunFor(request);
+    if (isTooLong && endpoint.running > 0 && decodeIntervalEnd - now <= longestHoldFor(request))
+        slot.runBegin = slot.begin = decodeIntervalEnd;
     slot.end = slot.begin + read;
     return slot;
 }
@@ -147,22 +150,22 @@
 auto Balancer::readTime(const Endpoint &endpoint, const proto::PickRequest &request) const
         -> Duration
 {
-    const auto lacks = missing(endpoint, request);
-    auto read
-            = std::chrono::duration_cast<Duration>(usualRead(lacks.toRead) * paceOf(request.model));
-    if (lacks.toFetch > 0) {
+    const auto missingTokens = missing(endpoint, request);
+    auto read = std::chrono::duration_cast<Duration>(usualRead(missingTokens.toRead)
+                                                     * readFactorOf(request.model));
+    if (missingTokens.toFetch > 0) {
         read += options_.fetchOverhead
-                + fromMillis(static_cast<double>(lacks.toFetch)
+                + fromMillis(static_cast<double>(missingTokens.toFetch)
                              / static_cast<double>(request.fetchTokensPerMs));
     }
     return read;
 }
 
-auto Balancer::bearableFor(const proto::PickRequest &request) const -> Duration
+auto Balancer::maxReadRunFor(const proto::PickRequest &request) const -> Duration
 {
     if (request.gapTargetMs == 0)
-        return options_.bearable;
-    return fromMillis(static_cast<double>(request.gapTargetMs) * options_.bearablePart);
+        return options_.maxReadRun;
+    return fromMillis(static_cast<double>(request.gapTargetMs) * options_.maxReadRunShare);
 }
 
 auto Balancer::longestHoldFor(const proto::PickRequest &request) const -> Duration
@@ -178,21 +181,21 @@
     return fromMillis(static_cast<double>(tokens) / options_.tokensPerMs);
 }
 
-auto Balancer::paceOf(std::uint64_t model) const -> double
+auto Balancer::readFactorOf(std::uint64_t model) const -> double
 {
-    const auto found = paces_.find(model);
-    return found == paces_.end() ? 1 : found->second;
+    const auto found = readFactors_.find(model);
+    return found == readFactors_.end() ? 1 : found->second;
 }
 
-auto Balancer::learnPace(const Booking &booking, Duration start) -> void
+auto Balancer::learnReadFactor(const Booking &booking, Duration start) -> void
 {
-    if (!booking.isAlone || booking.usualRead < options_.tellingRead)
+    if (!booking.isAlone || booking.usualRead < options_.minInformativeRead)
         return;
     const auto read = std::max(Duration::zero(), start - options_.startOverhead);
-    const auto seen = std::clamp(inMillis(read) / inMillis(booking.usualRead), options_.fastest,
-                                 options_.slowest);
-    auto &pace = paces_.try_emplace(booking.model, 1).first->second;
-    pace += options_.learning * (seen - pace);
+    const auto seen = std::clamp(inMillis(read) / inMillis(booking.usualRead),
+                                 options_.minReadFactor, options_.maxReadFactor);
+    auto &readFactor = readFactors_.try_emplace(booking.model, 1).first->second;
+    readFactor += options_.learningRate * (seen - readFactor);
 }
 
 auto Balancer::costAt(const Endpoint &endpoint, const proto::PickRequest &request) const -> double
@@ -201,10 +204,10 @@
     const auto start = inMillis(slot.end - clock_.now());
     const auto readingOn = inMillis(slot.end - slot.runBegin);
     const auto running = static_cast<double>(endpoint.running);
-    const auto paused = std::max(0.0, readingOn - inMillis(bearableFor(request)));
+    const auto paused = std::max(0.0, readingOn - inMillis(maxReadRunFor(request)));
     const auto generating
             = std::min(static_cast<double>(request.outputTokens) * options_.msPerToken,
-                       inMillis(options_.foreseen));
+                       inMillis(options_.generationHorizon));
     return start + running * options_.msPerRunning + running * options_.pauseWeight * paused
             + generating * options_.exposureWeight * readShare(endpoint);
 }
@@ -212,41 +215,42 @@
 auto Balancer::missing(const Endpoint &endpoint, const proto::PickRequest &request) const -> Missing
 {
     auto result = Missing { request.ownTokens, 0, {} };
-    // A part is of use only after all parts before it.
+    // A cached span is useful only if all spans before it are available.
     auto span = request.shared.begin();
-    while (span != request.shared.end() && keeps(endpoint, span->key))
+    while (span != request.shared.end() && isCached(endpoint, span->key))
         ++span;
     for (; span != request.shared.end(); ++span) {
-        const auto *keeper = request.fetchTokensPerMs > 0 ? keeperOf(span->key) : nullptr;
-        const auto isSame = keeper != nullptr && (result.from.empty() || *keeper == result.from);
+        const auto *cachedAtId = request.fetchTokensPerMs > 0 ? cachedAt(span->key) : nullptr;
+        const auto isSame
+                = cachedAtId != nullptr && (result.from.empty() || *cachedAtId == result.from);
         if (!isSame)
             break;
-        result.from = *keeper;
+        result.from = *cachedAtId;
         result.toFetch += span->tokens;
     }
     for (; span != request.shared.end(); ++span)
         result.toRead += span->tokens;
-    if (result.toFetch < options_.worthFetching) {
+    if (result.toFetch < options_.minFetchTokens) {
         result.toRead += std::exchange(result.toFetch, 0);
         result.from = {};
     }
     return result;
 }
 
-auto Balancer::keeps(const Endpoint &endpoint, std::uint64_t key) -> bool
+auto Balancer::isCached(const Endpoint &endpoint, std::uint64_t key) -> bool
 {
-    return std::any_of(endpoint.kept.begin(), endpoint.kept.end(),
-                       [key](const auto &kept) { return kept.key == key; });
+    return std::any_of(endpoint.cached.begin(), endpoint.cached.end(),
+                       [key](const auto &cached) { return cached.key == key; });
 }
 
-auto Balancer::keeperOf(std::uint64_t key) const -> const EndpointId *
+auto Balancer::cachedAt(std::uint64_t key) const -> const EndpointId *
 {
-    const auto last = lastKeepers_.find(key);
-    if (last == lastKeepers_.end())
+    const auto last = lastCachedAt_.find(key);
+    if (last == lastCachedAt_.end())
         return nullptr;
     const auto found = endpoints_.find(last->second);
     const auto hasRead = found != endpoints_.end() && found->second.readUntil <= clock_.now()
-            && keeps(found->second, key);
+            && isCached(found->second, key);
     return hasRead ? &last->second : nullptr;
 }
 
@@ -269,21 +273,21 @@
                                     positiveMillis(slot.runBegin - now),
                                     {},
                                     0 };
-    const auto lacks = missing(endpoint, request);
-    reply.fetchFrom = lacks.from;
+    const auto missingTokens = missing(endpoint, request);
+    reply.fetchFrom = missingTokens.from;
     endpoint.reading
             = readShare(endpoint) * inMillis(options_.readWindow) + inMillis(slot.end - slot.begin);
     endpoint.averagedAt = now;
     endpoint.readSince = slot.runBegin;
     endpoint.readUntil = slot.end;
     endpoint.rate.take(now);
-    keep(id, request.shared);
+    recordCached(id, request.shared);
     auto &booking = bookings_[{ gateway, request.ticket }];
     if (!booking.endpoint.empty())
         release(booking.endpoint);
     booking = { id,
                 request.model,
-                usualRead(lacks.toRead),
+                usualRead(missingTokens.toRead),
                 slot.begin == now,
                 now,
                 now + std::chrono::milliseconds { request.limitMs } };
@@ -291,26 +295,27 @@
     return reply;
 }
 
-auto Balancer::keep(const EndpointId &id, const std::vector<proto::PromptSpan> &spans) -> void
+auto Balancer::recordCached(const EndpointId &id, const std::vector<proto::PromptSpan> &spans)
+        -> void
 {
     auto &endpoint = endpointOf(id);
     for (const auto &span : spans) {
-        const auto found = std::find_if(endpoint.kept.begin(), endpoint.kept.end(),
-                                        [&](const auto &kept) { return kept.key == span.key; });
-        if (found != endpoint.kept.end())
-            endpoint.kept.erase(found);
+        const auto found = std::find_if(endpoint.cached.begin(), endpoint.cached.end(),
+                                        [&](const auto &cached) { return cached.key == span.key; });
+        if (found != endpoint.cached.end())
+            endpoint.cached.erase(found);
         else
-            endpoint.keptTokens += span.tokens;
-        endpoint.kept.push_back(span);
-        lastKeepers_[span.key] = id;
+            endpoint.cachedTokens += span.tokens;
+        endpoint.cached.push_back(span);
+        lastCachedAt_[span.key] = id;
     }
-    while (endpoint.keptTokens > options_.keptTokens && !endpoint.kept.empty()) {
-        const auto &oldest = endpoint.kept.front();
-        endpoint.keptTokens -= oldest.tokens;
-        const auto last = lastKeepers_.find(oldest.key);
-        if (last != lastKeepers_.end() && last->second == id)
-            lastKeepers_.erase(last);
-        endpoint.kept.pop_front();
+    while (endpoint.cachedTokens > options_.cachedTokens && !endpoint.cached.empty()) {
+        const auto &oldest = endpoint.cached.front();
+        endpoint.cachedTokens -= oldest.tokens;
+        const auto last = lastCachedAt_.find(oldest.key);
+        if (last != lastCachedAt_.end() && last->second == id)
+            lastCachedAt_.erase(last);
+        endpoint.cached.pop_front();
     }
 }
 
@@ -320,19 +325,19 @@
     if (found == bookings_.end())
         return;
     if (end.startMs > 0)
-        learnPace(found->second, std::chrono::milliseconds { end.startMs });
-    learnRoom(found->second, end.outcome);
+        learnReadFactor(found->second, std::chrono::milliseconds { end.startMs });
+    learnLimit(found->second, end.outcome);
     release(found->second.endpoint);
     bookings_.erase(found);
 }
 
-auto Balancer::learnRoom(const Booking &booking, proto::PickOutcome outcome) -> void
+auto Balancer::learnLimit(const Booking &booking, proto::PickOutcome outcome) -> void
 {
     const auto found = endpoints_.find(booking.endpoint);
     if (outcome == proto::PickOutcome::Unknown || found == endpoints_.end())
         return;
     const auto now = clock_.now();
-    stayMs_ += options_.learning * (inMillis(now - booking.bookedAt) - stayMs_);
+    occupancyMs_ += options_.learningRate * (inMillis(now - booking.bookedAt) - occupancyMs_);
     auto &endpoint = found->second;
     endpoint.limit.onEnd(outcome == proto::PickOutcome::Late, endpoint.running, now);
 }
@@ -377,8 +382,8 @@
         const auto &endpoint = item.second;
         return endpoint.running == 0 && now - endpoint.averagedAt > options_.forgetAfter;
     });
-    std::erase_if(returns_, [now](const auto &item) { return item.second <= now; });
-    std::erase_if(lastKeepers_,
+    std::erase_if(lastRetryAt_, [now](const auto &item) { return item.second <= now; });
+    std::erase_if(lastCachedAt_,
                   [&](const auto &item) { return !endpoints_.contains(item.second); });
 }
 
--- a/fleet/balancer.h
+++ b/fleet/balancer.h
@@ -1,30 +1,37 @@
-// Which endpoint each request of all gateways should go to.
+// Picks an endpoint for each request, for all gateways.
 //
 //   auto balancer = Balancer { options, clock, random };
-//   const auto reply = balancer.pick(gateway, request);   // books it there
+//   const auto reply = balancer.pick(gateway, request);   // also books the request there
 //   balancer.onEnd(gateway, end);
 //
-// A gateway of a large fleet sends an endpoint one request in a hundred, and
-// hears of the others' a second late; prompts that meet at one endpoint make its
-// streams pause. One process that books every request knows at each moment how
-// much each endpoint still has to read. What it knows is soft: a balancer that
-// begins anew, or hears of a part of the requests only, picks less well and
-// nothing else. Gateways check and may overrule every pick.
+// In a large fleet, a single gateway sends an endpoint one request in a hundred
+// and learns about the others' requests a second late. Prompts that arrive at one
+// endpoint at the same time make its streams pause. A single process that books
+// every request knows at any moment how many prompt tokens each endpoint still
+// has to read. This is soft state: a balancer that restarts, or that sees only
+// some of the requests, picks less well but never wrongly. Gateways check every
+// pick and may overrule it.
 //
-// The cost of a candidate, in milliseconds: the time until the request's own
-// prompt is read there; what that reading does to the streams beside it; what
-// others' reading will do to a long stream.
+// "Reading" a prompt means prefill: computing the attention cache of its tokens.
 //
-// Prompts that an endpoint reads one after another are paced: after a run of
-// reading as long as a stream bears, the next prompt is held back by its gateway
-// for a rest in which every stream gets its next tokens. Behind the others it
-// would have waited anyhow, so a hold costs it the rests alone.
+// The cost of a candidate, in milliseconds, is the sum of the time until the
+// request's own prompt is read there, the delay that this reading causes to the
+// endpoint's other streams, and the delay that later prompts will cause to a long
+// stream.
 //
-// An endpoint that names the rate of requests that it takes gets no more, whoever asks
-// and whatever has begun elsewhere. Gateways tell with each question what they have heard,
-// so that a balancer that takes another's place knows it with the first.
+// Prompts that an endpoint reads one after another are spaced out. After a run of
+// reading as long as streams tolerate, the gateway holds the next prompt back for
+// a decode interval, in which every stream gets its next tokens. The prompt would
+// have waited behind the others anyway, so the hold delays it only by the decode
+// intervals.
 //
-// Pure but for the clock and the draw among equals. Not thread-safe.
+// An endpoint that advertises a request rate is sent no more than that, whichever
+// gateway asks and even if the request has already started elsewhere. Gateways
+// include the rates they know in each request, so a balancer that takes over from
+// another one learns them from the first request.
+//
+// Deterministic except for the clock and the random choice among equal candidates.
+// Not thread-safe.
 
 #ifndef FIGRACK_FLEET_BALANCER_H
 #define FIGRACK_FLEET_BALANCER_H
@@ -46,63 +53,64 @@
 
 struct BalancerOptions
 {
-    /// Prompt tokens that an engine reads in a millisecond, with the steps of its batch around
-    /// them.
+    /// Prompt tokens that an engine reads per millisecond, including the decode steps in between.
     double tokensPerMs = 28;
-    /// Time from a request's sending to its first event that no prompt takes: the engine's first
-    /// steps and the way there.
+    /// Time from sending a request to its first event that does not depend on the prompt: the
+    /// engine's first steps and the network delay.
     Duration startOverhead = std::chrono::milliseconds { 45 };
-    /// Part of a newly seen reading speed that goes into the one that is expected.
-    double learning = 0.15;
-    /// Prompts that are read faster than this tell little of the speed.
-    Duration tellingRead = std::chrono::milliseconds { 30 };
-    /// Bounds of what is learned, as multiples of the usual reading time: small models read faster,
-    /// endpoints that turn slow take much longer.
-    double fastest = 0.2;
-    double slowest = 8;
-    /// Time an engine takes for one token of each stream in its batch, when it reads nothing.
+    /// Weight of a new sample in the moving averages.
+    double learningRate = 0.15;
+    /// Shorter expected reading times are too imprecise to learn the reading speed from.
+    Duration minInformativeRead = std::chrono::milliseconds { 30 };
+    /// Bounds of the learned factor on the usual reading time. Small models read faster; endpoints
+    /// that become slow take much longer.
+    double minReadFactor = 0.2;
+    double maxReadFactor = 8;
+    /// Time an engine takes for one token of each stream in its batch when it reads no prompt.
     double msPerToken = 6;
-    /// Reading that a stream beside it bears without a noticeable pause, where streams have no
-    /// target for their pauses.
-    Duration bearable = std::chrono::milliseconds { 300 };
-    /// The same, as a part of the target.
-    double bearablePart = 0.6;
-    /// Between two runs of reading: in it each stream gets its next event, of nine tokens at most.
-    Duration rest = std::chrono::milliseconds { 60 };
-    /// A prompt is held back for this long at most, and for no longer than this part of its own
-    /// start target. Where it would have to be, it finds no room: held for longer, or sent without
-    /// a rest, prompts make each other and all streams there late.
+    /// Longest run of reading that causes no noticeable pause in the other streams, where the
+    /// request has no target for pauses.
+    Duration maxReadRun = std::chrono::milliseconds { 300 };
+    /// The same, as a fraction of the target for pauses.
+    double maxReadRunShare = 0.6;
+    /// Time between two runs of reading. In it each stream gets its next event, of at most nine
+    /// tokens.
+    Duration decodeInterval = std::chrono::milliseconds { 60 };
+    /// A prompt is held back for at most this time, and at most this fraction of its own start
+    /// target. If a longer hold would be needed, the endpoint has no room for it: prompts that are
+    /// held longer, or sent without a decode interval, delay each other and all streams there.
     Duration longestHold = std::chrono::milliseconds { 500 };
     double longestHoldPart = 0.1;
-    /// A prompt that is read faster than this goes where there is a place, however much is to be
-    /// read there: as long as a rest, it costs the streams one event at most.
+    /// A prompt with a shorter reading time is sent wherever the endpoint accepts requests,
+    /// however much is to be read there: it takes no longer than a decode interval and delays the
+    /// streams by one event at most.
     Duration shortRead = std::chrono::milliseconds { 50 };
-    /// What each running request loses by a millisecond of reading beyond what is bearable,
-    /// compared with a millisecond that the new request waits.
+    /// Cost to each running request of a millisecond of reading beyond the tolerated run, relative
+    /// to a millisecond that the new request waits.
     double pauseWeight = 0.3;
-    /// What a millisecond of generating loses at an endpoint that reads all the time.
+    /// Cost of a millisecond of generation at an endpoint that reads prompts all the time.
     double exposureWeight = 0.5;
-    /// Longest time of generating that is foreseen: what comes later is not known.
-    Duration foreseen = std::chrono::seconds { 4 };
-    /// A running request costs a new one so much: all streams of a batch share its steps.
+    /// Longest generation time that is taken into account; later load is unknown.
+    Duration generationHorizon = std::chrono::seconds { 4 };
+    /// Cost of each running request to a new one: all streams of a batch share its steps.
     double msPerRunning = 2;
-    /// Over which an endpoint's reading is averaged.
+    /// Averaging window of an endpoint's reading time.
     Duration readWindow = std::chrono::seconds { 4 };
-    /// Beginnings of prompts that an endpoint is taken to keep, in tokens; running requests take
+    /// Tokens of prompt prefixes that an endpoint is assumed to keep cached; running requests use
     /// the rest of its cache.
-    std::uint64_t keptTokens = 100'000;
-    /// Less than this is read again rather than fetched from another endpoint's cache: some 20 ms.
-    std::uint64_t worthFetching = 500;
-    /// A fetch takes so much beside its tokens: to the other endpoint and back.
+    std::uint64_t cachedTokens = 100'000;
+    /// Fewer tokens are read again instead of fetched from another endpoint's cache: about 20 ms.
+    std::uint64_t minFetchTokens = 500;
+    /// Time of a fetch in addition to its tokens: the round trip to the other endpoint.
     Duration fetchOverhead = std::chrono::milliseconds { 5 };
-    PlaceLimitOptions places;
-    /// Retry-After of the first request that finds no room. Those that follow it are told later and
-    /// later, one place apart, so that they do not come back together.
-    Duration soonestReturn = std::chrono::milliseconds { 500 };
-    Duration latestReturn = std::chrono::milliseconds { 4000 };
-    /// What a place is expected to be taken for before any end was seen.
-    Duration usualStay = std::chrono::milliseconds { 1500 };
-    /// An endpoint that nothing was booked at for so long is forgotten.
+    ConcurrencyLimitOptions places;
+    /// Retry-After of the first request that finds no room. Later ones get increasing values, one
+    /// place apart, so that their callers do not retry at the same time.
+    Duration minRetryAfter = std::chrono::milliseconds { 500 };
+    Duration maxRetryAfter = std::chrono::milliseconds { 4000 };
+    /// Expected time that a request occupies a place, until the first one has ended.
+    Duration initialOccupancy = std::chrono::milliseconds { 1500 };
+    /// Endpoints without a booking for this time are forgotten.
     Duration forgetAfter = std::chrono::seconds { 60 };
 };
 
@@ -110,40 +118,41 @@
 {
 public:
     Balancer(BalancerOptions options, const Clock &clock, Random &random);
-    /// @param gateway that asks @param request with one candidate at least
-    /// @return the candidate that costs least, and why; none when there is no candidate, or none
-    /// has room for the request: then with the time to come back
+    /// @param gateway the gateway that asks
+    /// @param request the request, with its candidate endpoints
+    /// @return the candidate with the lowest cost, and the details of the pick; no endpoint when
+    /// there are no candidates, or none has room, in which case the reply has the time to retry
     auto pick(const NodeId &gateway, const proto::PickRequest &request) -> proto::PickReply;
     auto onEnd(const NodeId &gateway, const proto::PickEnd &end) -> void;
-    /// The gateway's bookings end: it is gone, and its requests with it.
+    /// Ends the bookings of a gateway that is gone, together with its requests.
     auto onGatewayLost(const NodeId &gateway) -> void;
-    /// @return requests that are booked at the endpoint
+    /// @return the number of requests booked at the endpoint
     auto runningAt(const EndpointId &id) const -> std::uint32_t;
-    /// @return requests that are booked
+    /// @return the number of all booked requests
     auto booked() const -> std::size_t { return bookings_.size(); }
 
 private:
     struct Endpoint
     {
-        explicit Endpoint(const PlaceLimitOptions &places)
+        explicit Endpoint(const ConcurrencyLimitOptions &places)
             : limit(places)
         { }
-        PlaceLimit limit;
-        policy::RateLimiter rate; ///< What it named, and what it was sent of late.
+        ConcurrencyLimit limit;
+        policy::RateLimiter rate; ///< The rate that the endpoint advertised, and its recent use.
         Instant readUntil {};     ///< When all booked prompts will have been read.
-        Instant readSince {};     ///< Begin of the last run of reading without a rest.
+        Instant readSince {};     ///< Start of the last run of reading without a decode interval.
         double reading = 0;       ///< Milliseconds of reading, decayed to averagedAt.
         Instant averagedAt {};
-        std::uint32_t running = 0;          ///< Booked and not ended.
-        std::deque<proto::PromptSpan> kept; ///< Most recently used last.
-        std::uint64_t keptTokens = 0;
+        std::uint32_t running = 0;            ///< Requests that are booked and have not ended.
+        std::deque<proto::PromptSpan> cached; ///< The most recently used span is last.
+        std::uint64_t cachedTokens = 0;
     };
     struct Booking
     {
         EndpointId endpoint;
         std::uint64_t model = 0;
-        Duration usualRead {}; ///< Of its prompt, by tokensPerMs alone.
-        bool isAlone = false;  ///< No other prompt was to be read before it.
+        Duration usualRead {}; ///< Reading time of its prompt, by tokensPerMs alone.
+        bool isAlone = false;  ///< No other prompt had to be read before it.
         Instant bookedAt {};
         Instant expiresAt {};
     };
@@ -152,48 +161,50 @@
     /// When a prompt would be read.
     struct Slot
     {
-        Instant runBegin {}; ///< Of the run of reading that it belongs to; not sent before.
+        Instant runBegin {}; ///< Start of its run of reading; the prompt is not sent earlier.
         Instant begin {};
         Instant end {};
     };
     auto slotFor(const Endpoint &endpoint, const proto::PickRequest &request) const -> Slot;
-    /// @return what the endpoint needs to read, or fetch, of the request's prompt
+    /// @return the time the endpoint needs to read or fetch the request's prompt
     auto readTime(const Endpoint &endpoint, const proto::PickRequest &request) const -> Duration;
-    auto isReadBehind(const Endpoint &endpoint, const proto::PickRequest &request) const -> bool;
-    /// @return reading that the streams of the request's kind bear
-    auto bearableFor(const proto::PickRequest &request) const -> Duration;
+    auto exceedsReadQueue(const Endpoint &endpoint, const proto::PickRequest &request) const
+            -> bool;
+    /// @return the longest run of reading that streams of the request's kind tolerate
+    auto maxReadRunFor(const proto::PickRequest &request) const -> Duration;
     auto longestHoldFor(const proto::PickRequest &request) const -> Duration;
     auto usualRead(std::uint64_t tokens) const -> Duration;
-    /// @return the reading time of the model as a multiple of the usual one
-    auto paceOf(std::uint64_t model) const -> double;
-    auto learnPace(const Booking &booking, Duration start) -> void;
-    auto learnRoom(const Booking &booking, proto::PickOutcome outcome) -> void;
+    /// @return the model's reading time as a multiple of the usual one
+    auto readFactorOf(std::uint64_t model) const -> double;
+    auto learnReadFactor(const Booking &booking, Duration start) -> void;
+    auto learnLimit(const Booking &booking, proto::PickOutcome outcome) -> void;
     auto costAt(const Endpoint &endpoint, const proto::PickRequest &request) const -> double;
-    /// What of a prompt an endpoint has to get, and how.
+    /// The tokens of a prompt that an endpoint does not have cached, and how it gets them.
     struct Missing
     {
         std::uint64_t toRead = 0;
         std::uint64_t toFetch = 0;
-        EndpointId from; ///< Empty: nothing is fetched.
+        EndpointId from; ///< Where toFetch is fetched from; empty: nothing is fetched.
     };
     auto missing(const Endpoint &endpoint, const proto::PickRequest &request) const -> Missing;
-    static auto keeps(const Endpoint &endpoint, std::uint64_t key) -> bool;
-    /// @return the endpoint that was last seen to keep the span and has read it; nullptr: none
-    auto keeperOf(std::uint64_t key) const -> const EndpointId *;
-    /// @return the part of its time, from 0 on, that the endpoint has been reading of late
+    static auto isCached(const Endpoint &endpoint, std::uint64_t key) -> bool;
+    /// @return the endpoint that last had the span cached and has finished reading it; nullptr:
+    /// none
+    auto cachedAt(std::uint64_t key) const -> const EndpointId *;
+    /// @return the fraction of its recent time that the endpoint spent reading, from 0 on
     auto readShare(const Endpoint &endpoint) const -> double;
     auto book(const NodeId &gateway, const proto::PickRequest &request, const EndpointId &id)
             -> proto::PickReply;
-    auto keep(const EndpointId &id, const std::vector<proto::PromptSpan> &spans) -> void;
+    auto recordCached(const EndpointId &id, const std::vector<proto::PromptSpan> &spans) -> void;
     auto release(const EndpointId &id) -> void;
     auto endpointOf(const EndpointId &id) -> Endpoint &;
     auto hasRoom(Endpoint &endpoint, const proto::PickRequest &request) -> bool;
     auto learnRates(const proto::PickRequest &request) -> void;
-    /// @return true when each candidate has been sent all that it takes
+    /// @return true when each candidate has been sent all requests that its rate allows
     auto areRatesUsed(const proto::PickRequest &request) const -> bool;
-    auto turnAway(const proto::PickRequest &request) -> proto::PickReply;
-    /// To the candidate that takes another request first.
-    auto turnAwayForRate(const proto::PickRequest &request) -> proto::PickReply;
+    auto refuseNoRoom(const proto::PickRequest &request) -> proto::PickReply;
+    /// Refuses the request until the first candidate's rate allows another one.
+    auto refuseRateUsed(const proto::PickRequest &request) -> proto::PickReply;
     auto expire() -> void;
 
     BalancerOptions options_;
@@ -201,10 +212,11 @@
     Random &random_;
     std::map<EndpointId, Endpoint> endpoints_;
     std::map<BookingKey, Booking> bookings_;
-    std::map<std::uint64_t, double> paces_;    ///< By model; learned.
-    std::map<std::uint64_t, Instant> returns_; ///< By model: when the last refused one comes back.
-    double stayMs_;                            ///< How long a request takes a place, averaged.
-    std::unordered_map<std::uint64_t, EndpointId> lastKeepers_; ///< By the key of a span.
+    std::map<std::uint64_t, double> readFactors_; ///< Learned, by model.
+    std::map<std::uint64_t, Instant>
+            lastRetryAt_; ///< By model: the retry time given to the last refused request.
+    double occupancyMs_;  ///< Average time that a request occupies a place.
+    std::unordered_map<std::uint64_t, EndpointId> lastCachedAt_; ///< By the key of a span.
     Instant nextExpiry_ {};
 };
 
--- a/fleet/configlog.h
+++ b/fleet/configlog.h
@@ -22,7 +22,7 @@
 
 namespace figrack::fleet {
 
-/// A configuration as its operator sent it.
+/// A configuration, exactly as the operator sent it.
 struct Document
 {
     Revision version; ///< 0: none.
@@ -41,7 +41,7 @@
     /// @return the command that proposes a document
     static auto encode(const Document &document) -> std::string;
 
-    /// @return the version that an entry of the log proposes; nullopt when it is no document
+    /// @return the version that a log entry proposes; nullopt when it is not a document
     static auto versionOf(const coord::Entry &entry) -> std::optional<Revision>;
 
     auto apply(const coord::Entry &entry) -> void override;
@@ -49,9 +49,10 @@
     auto restore(std::string_view state, LogIndex lastIndex) -> absl::Status override;
 
     auto document() const -> const Document & { return document_; }
-    /// Called for each applied command; must not call the replica.
+    /// Sets the function that is called for each applied command; it must not call the replica.
     auto setOnApplied(std::function<void(LogIndex, Term)> listener) -> void;
-    /// Called when a snapshot has replaced the document; must not call the replica.
+    /// Sets the function that is called when a snapshot has replaced the document; it must not
+    /// call the replica.
     auto setOnRestored(std::function<void(LogIndex)> listener) -> void;
 
 private:
--- a/fleet/core.cpp
+++ b/fleet/core.cpp
@@ -29,21 +29,21 @@
 
 namespace {
 
-constexpr auto keeperEvery = std::chrono::milliseconds { 200 };
-/// Time between two gateways that are told the loads: each of 291 every 1.5 s.
-constexpr auto loadShare = std::chrono::milliseconds { 5 };
-/// Between two plans: a plan of some dozen endpoints takes a control with a sixth of a core about
-/// as long, and what sets it off comes in bursts.
+constexpr auto groupCheckInterval = std::chrono::milliseconds { 200 };
+/// Time per gateway between two reports of the loads: with 291 gateways one every 1.5 s.
+constexpr auto loadReportSpacing = std::chrono::milliseconds { 5 };
+/// Minimum time between two planning passes. A pass for a few dozen endpoints takes about this
+/// long on a control with a sixth of a core, and its triggers come in bursts.
 constexpr auto planPause = std::chrono::milliseconds { 10 };
-/// Time for all else after a plan, as a multiple of the time that the plan took.
-constexpr auto restPerPlan = 3;
-/// Between two lines of the log on one model that waits to be loaded.
-constexpr auto noteEvery = std::chrono::seconds { 1 };
+/// Minimum time without planning after a pass, as a multiple of the pass's duration.
+constexpr auto idlePerPlan = 3;
+/// Minimum time between two log lines about one model that waits to be loaded.
+constexpr auto deferLogInterval = std::chrono::seconds { 1 };
 constexpr auto joinEvery = std::chrono::milliseconds { 500 };
-constexpr auto stopLookEvery = std::chrono::milliseconds { 50 };
-/// For leadership to pass on before the process ends.
-constexpr auto handoverPatience = std::chrono::seconds { 2 };
-/// Gateways and endpoints that speak to this control may finish in it.
+constexpr auto stopCheckInterval = std::chrono::milliseconds { 50 };
+/// Time for leadership to be transferred before the process ends.
+constexpr auto handoverTimeout = std::chrono::seconds { 2 };
+/// Time for gateways and endpoints to finish their exchanges with this control.
 constexpr auto lingerAfterHandover = std::chrono::milliseconds { 300 };
 
 } // namespace
@@ -59,13 +59,13 @@
         , readDocument_(std::move(readDocument))
         , random_(seed)
         , lastKnown_(options_.dataFolder, disk_)
-        , spread_(clock, metrics_)
+        , rollout_(clock, metrics_)
         , registry_(options_.registry, clock)
         , announcements_(registry_, KnownServices { readDocument_ }, clock, metrics_)
-        , keeper_(options_.group, clock)
+        , groupManager_(options_.group, clock)
         , suspects_({}, quarantine_, registry_, lastKnown_, clock)
         , trials_({}, quarantine_, clock)
-        , loadGuard_({}, quarantine_, clock, [this] { suspects_.tellOwn(); })
+        , loadGuard_({}, quarantine_, clock, [this] { suspects_.publishOwn(); })
         , demand_(options_.demand, clock)
         , balancer_(options_.balancer, clock, random_)
         , ledger_(options_.ledger, registry_, clock, Incarnation { random_.bits() })
@@ -107,12 +107,12 @@
     auto requestStop(std::function<void()> onStopped) -> void
     {
         stopping_ = true;
-        stopAskedAt_ = clock_.now();
+        stopRequestedAt_ = clock_.now();
         onStopped_ = std::move(onStopped);
         if (replica_)
             static_cast<void>(replica_->transferLeadership());
         settle();
-        lookAtStop();
+        checkStop();
     }
 
     auto reload(const std::vector<Address> &seeds) -> void
@@ -132,7 +132,7 @@
         const auto version = document.version;
         const auto deadline = clock_.now() + options_.proposalTimeout;
         if (version <= log_.document().version) {
-            awaitSpread(version, deadline, std::move(done));
+            awaitRollout(version, deadline, std::move(done));
             return;
         }
         const auto term = replica_->status().term;
@@ -143,7 +143,7 @@
         }
         auto onCommitted = [this, version, deadline, done = std::move(done)](absl::Status status) {
             if (status.ok())
-                awaitSpread(version, deadline, done);
+                awaitRollout(version, deadline, done);
             else
                 done(std::move(status));
         };
@@ -221,7 +221,7 @@
         authority.mayOrder = [this] { return mayOrder(); };
         authority.fence = [this] { return Fence { status().term.value() }; };
         authority.onPlanEnded = [this] { planSoon(); };
-        authority.onEndedUnderLoad = [this](const ModelId &model, const EndpointId &endpoint) {
+        authority.onEndedDuringLoad = [this](const ModelId &model, const EndpointId &endpoint) {
             loadGuard_.onEnded(model, endpoint);
         };
         authority.onLoaded = [this](const ModelId &model) { loadGuard_.onLoaded(model); };
@@ -237,10 +237,10 @@
         return member;
     }
 
-    /// A control is named by its address, so that seeds can be named before they have spoken.
+    /// A control's node name is its address, so that seeds have a name before they are reached.
     static auto nodeAt(const Address &address) -> NodeId { return NodeId { "n" + address.text() }; }
 
-    /// For connections that this control dials: what the others push comes in by them.
+    /// Handles connections that this control opens; the other controls send their updates on them.
     auto linkHandler() -> proto::PeerHandler
     {
         auto handler = proto::PeerHandler {};
@@ -284,11 +284,11 @@
                       if (!self)
                           return;
                       const auto kind = self->registry_.onClose(peer);
-                      self->spread_.onLost(peer);
+                      self->rollout_.onLost(peer);
                       self->demand_.onGatewayLost(peer->peer());
                       self->balancer_.onGatewayLost(peer->peer());
                       self->trials_.onGatewayLost(peer->peer());
-                      // Other controls count for nobody by themselves.
+                      // Connections of other controls have no requests in the ledger.
                       if (kind == proto::SubscriberKind::Gateway)
                           self->ledger_.onGatewayLost(peer->peer());
                   };
@@ -306,7 +306,7 @@
         } else if (const auto *ack = std::get_if<proto::ServingAck>(&envelope.payload)) {
             registry_.onAck(peer, *ack);
         } else if (const auto *inForce = std::get_if<proto::DocumentInForce>(&envelope.payload)) {
-            spread_.onInForce(peer, inForce->version);
+            rollout_.onInForce(peer, inForce->version);
         } else if (const auto *wanted = std::get_if<proto::ModelWanted>(&envelope.payload)) {
             if (demand_.onReport(peer->peer(), *wanted))
                 planSoon();
@@ -328,9 +328,9 @@
         } else if (const auto *join = std::get_if<proto::JoinGroup>(&envelope.payload)) {
             onJoin(join->member);
         } else if (std::holds_alternative<proto::ManifestRequest>(envelope.payload)) {
-            peer->send({ envelope.correlation, shelf_.manifest() });
+            peer->send({ envelope.correlation, recentDocuments_.manifest() });
         } else if (const auto *blocks = std::get_if<proto::BlocksRequest>(&envelope.payload)) {
-            peer->send({ envelope.correlation, shelf_.blocks(*blocks) });
+            peer->send({ envelope.correlation, recentDocuments_.blocks(*blocks) });
         } else {
             LogEvent(LogLevel::Warning, "message_not_expected").with("peer", peer->peer());
         }
@@ -369,7 +369,7 @@
         proof_.settle(newestDocument().version);
     }
 
-    /// @return true while this control hears what the others of the group decide
+    /// @return true while this control receives the decisions of its group
     auto hearsGroup() const -> bool
     {
         const auto now = status();
@@ -381,14 +381,15 @@
         registry_.onSubscribe(peer, subscribe);
         suspects_.onSubscribed(peer, subscribe.kind);
         if (subscribe.kind == proto::SubscriberKind::Gateway)
-            spread_.onSubscribed(peer, subscribe.ready, subscribe.inForce);
+            rollout_.onSubscribed(peer, subscribe.ready, subscribe.inForce);
     }
 
-    /// An operator's next step may rely on the change, so gateways are given time to obey it.
-    auto awaitSpread(Revision version, Instant deadline, Done done) -> void
+    /// Gives gateways time to apply the change, because an operator's next step may rely on it.
+    auto awaitRollout(Revision version, Instant deadline, Done done) -> void
     {
-        const auto patience = std::min(deadline, clock_.now() + options_.spreadPatience);
-        spread_.await(version, patience, [done = std::move(done)] { done(absl::OkStatus()); });
+        const auto rolloutDeadline = std::min(deadline, clock_.now() + options_.rolloutTimeout);
+        rollout_.await(version, rolloutDeadline,
+                       [done = std::move(done)] { done(absl::OkStatus()); });
     }
 
     auto onUpdate(const proto::ServingUpdate &update) -> void
@@ -400,10 +401,10 @@
 
     auto onJoin(const coord::Member &member) -> void
     {
-        // Its address is known before it is listed, so that it can be answered.
+        // The transport needs the address before the control is a member, to send it a reply.
         transport_->setPeers({ member });
         if (replica_)
-            keeper_.onJoin(*replica_, member);
+            groupManager_.onJoin(*replica_, member);
         settle();
     }
 
@@ -425,7 +426,7 @@
                 coord::FileLogStoreOptions { .folder = options_.dataFolder }, disk_);
         replica_ = std::make_unique<coord::Replica>(options, clock_, *transport_, *store_, log_,
                                                     random_);
-        // A voter of this life: it requires what the disk holds.
+        // Each start of the replica gets a new voter, which requires what the disk holds.
         voter_.emplace(options_.name);
         replica_->setStoredHook([this](const coord::Entry &entry, bool stored) {
             voter_->onStored(entry, stored);
@@ -440,7 +441,7 @@
         settle();
     }
 
-    /// A replica that has stopped by a fault of its disk is made anew from what the disk holds.
+    /// Recreates from its disk a replica that has stopped because of a disk fault.
     auto restartIfStopped() -> void
     {
         const auto now = clock_.now();
@@ -478,15 +479,15 @@
         settle();
         restartIfStopped();
         registry_.tick();
-        spread_.settle();
+        rollout_.settle();
         suspects_.tick();
         ledger_.tick(hearsGroup());
         proveDocument();
         rememberEndpoints();
         const auto now = clock_.now();
-        if (now >= nextKeep_ && replica_) {
-            nextKeep_ = now + keeperEvery;
-            keeper_.tick(*replica_);
+        if (now >= nextEndpointSave_ && replica_) {
+            nextEndpointSave_ = now + groupCheckInterval;
+            groupManager_.tick(*replica_);
             settle();
         }
         if (now >= nextJoin_) {
@@ -494,15 +495,15 @@
             askToJoin();
         }
         if (now >= nextLoads_ && leads_) {
-            const auto share = registry_.gatewayCount() * loadShare;
+            const auto share = registry_.gatewayCount() * loadReportSpacing;
             nextLoads_ = now + std::max<Duration>(options_.loadsEvery, share);
-            registry_.tellLoads(demand_.loads());
+            registry_.publishLoads(demand_.loads());
         }
         if (now >= nextPlan_)
             planNow();
     }
 
-    /// After each call into the replica: ends proposals and tells what has changed.
+    /// Call after each call into the replica: completes proposals and publishes changes.
     auto settle() -> void
     {
         if (!replica_ || std::exchange(settling_, true))
@@ -515,7 +516,7 @@
             transport_->setPeers(members_);
         }
         auto group = GroupView {};
-        shelf_.addDocument(newestDocument());
+        recentDocuments_.addDocument(newestDocument());
         group.document = newestDocument().version;
         group.leader = now.leader;
         group.term = now.term;
@@ -525,7 +526,7 @@
         settling_ = false;
     }
 
-    // ---- what outlives a loss of all processes
+    // ---- state that survives a loss of all processes
 
     auto recall() -> void
     {
@@ -539,8 +540,8 @@
         suspects_.recall();
     }
 
-    /// @return the newest document that is known to be committed: after a start, until the log has
-    /// been applied, the one that was applied before it
+    /// @return the newest document known to be committed. After a start, until the log has been
+    /// applied, this is the one that was applied before the restart
     auto newestDocument() const -> const Document &
     {
         return log_.document().version >= recalled_.version ? log_.document() : recalled_;
@@ -589,7 +590,7 @@
         const auto now = replica_->status();
         if (now.role == coord::Role::Stopped || now.incarnation == Incarnation {})
             return;
-        // A founder waits for the others: it is listed once the group is founded.
+        // A founder does not ask to join: it becomes a member when the group is founded.
         const auto mayFound = options_.bootstrap && now.lastIndex == LogIndex {}
                 && std::find(options_.seeds.begin(), options_.seeds.end(), options_.peers)
                         != options_.seeds.end();
@@ -626,10 +627,11 @@
             return;
         const auto begun = BootClock::now();
         planServices();
-        // A control with a small share of a core, before many endpoints, has more to do than to
-        // plan: a plan of 6 ms takes 40 ms of a sixth of a core, and one followed the other.
+        // A control with a small share of a core and many endpoints must leave time for other work:
+        // a plan of 6 ms takes 40 ms on a sixth of a core, and without a pause one plan would
+        // directly follow the other.
         const auto ended = BootClock::now();
-        planAgainAt_ = ended + std::max<Duration>(planPause, (ended - begun) * restPerPlan);
+        planAgainAt_ = ended + std::max<Duration>(planPause, (ended - begun) * idlePerPlan);
     }
 
     auto planServices() -> void
@@ -654,7 +656,7 @@
         for (const auto *row : registry_.rows()) {
             if (row->service != service.id || row->state != catalogue::EndpointState::Ready)
                 continue;
-            // What it holds serves nobody; should it come back, its replicas count again.
+            // The models it holds are not available to anybody. If it returns, they count again.
             if (unreachable.contains(row->id))
                 continue;
             const auto *held = orders_.held(row->id);
@@ -673,7 +675,7 @@
         input.storeLoads = orders_.storeLoadsAllowed(engine);
         input.storeReserve = orders_.storeLoadsAtOnce() > 1 ? 1 : 0;
         const auto placement = plan(input);
-        noteDeferred(placement.deferred);
+        logDeferred(placement.deferred);
         for (const auto &next : placement.plans) {
             LogEvent(LogLevel::Info, "plan")
                     .with("endpoint", next.endpoint)
@@ -688,21 +690,22 @@
         }
     }
 
-    /// One line a model and second, so that a request that waited tells by its model what for.
-    auto noteDeferred(const std::vector<Deferral> &deferred) -> void
+    /// Logs at most one line per model and second, so that the log shows what requests for that
+    /// model waited for.
+    auto logDeferred(const std::vector<Deferral> &deferred) -> void
     {
         const auto now = clock_.now();
-        std::erase_if(deferNoted_,
-                      [&](const auto &item) { return now - item.second >= noteEvery; });
+        std::erase_if(deferLoggedAt_,
+                      [&](const auto &item) { return now - item.second >= deferLogInterval; });
         for (const auto &deferral : deferred) {
-            if (!deferNoted_.try_emplace(deferral.model, now).second)
+            if (!deferLoggedAt_.try_emplace(deferral.model, now).second)
                 continue;
             LogEvent(LogLevel::Info, "plan_deferred")
                     .with("model", deferral.model)
                     .with("reason", deferReasonName(deferral.reason))
                     .with("endpoint", deferral.endpoint)
                     .with("seconds", deferral.seconds)
-                    .with("lacks", std::int64_t { deferral.lacks });
+                    .with("lacks", std::int64_t { deferral.unserved });
         }
     }
 
@@ -722,23 +725,23 @@
         return catalogue_.get();
     }
 
-    // ---- the end
+    // ---- stopping
 
-    auto lookAtStop() -> void
+    auto checkStop() -> void
     {
-        const auto passed = clock_.now() - stopAskedAt_;
+        const auto passed = clock_.now() - stopRequestedAt_;
         const auto leads = replica_ && replica_->status().role == coord::Role::Leader;
-        if ((!leads && passed >= lingerAfterHandover) || passed >= handoverPatience) {
+        if ((!leads && passed >= lingerAfterHandover) || passed >= handoverTimeout) {
             LogEvent(LogLevel::Info, "core_stopped").with("leads", leads);
             close();
             onStopped_();
             return;
         }
-        stopTimer_.expires_after(stopLookEvery);
+        stopTimer_.expires_after(stopCheckInterval);
         stopTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (self && !error)
-                self->lookAtStop();
+                self->checkStop();
         });
     }
 
@@ -749,14 +752,14 @@
     Random random_;
     coord::PosixDisk disk_;
     LastKnownStore lastKnown_;
-    Document recalled_; ///< What was applied here before the start.
+    Document recalled_; ///< The document that was applied here before the start.
     ConfigLog log_;
-    RecentDocuments shelf_;
+    RecentDocuments recentDocuments_;
     Metrics metrics_;
-    DocumentSpread spread_;
+    DocumentRollout rollout_;
     Registry registry_;
     Announcements announcements_;
-    GroupKeeper keeper_;
+    GroupManager groupManager_;
     policy::Quarantine quarantine_ { {} };
     SuspectSync suspects_;
     Trials trials_;
@@ -765,7 +768,7 @@
     Balancer balancer_;
     AccountLedger ledger_;
     DocumentProof proof_;
-    std::optional<DocumentVoter> voter_; ///< Of the replica's present life.
+    std::optional<DocumentVoter> voter_; ///< Created for each start of the replica.
     Proposals proposals_;
     std::unique_ptr<control::PeerTransport> transport_;
     std::unique_ptr<proto::PeerServer> server_;
@@ -773,17 +776,17 @@
     std::unique_ptr<coord::Replica> replica_;
     std::vector<coord::Member> members_;
     std::shared_ptr<const catalogue::Catalogue> catalogue_; ///< Of the held document.
-    std::map<ModelId, Instant> deferNoted_;                 ///< When the log last told of it.
+    std::map<ModelId, Instant> deferLoggedAt_;              ///< Time of the last log line.
     OrderRunner orders_;
     BootTimer tickTimer_;
     BootTimer stopTimer_;
     BootTimer planTimer_;
-    Instant planAgainAt_ {}; ///< Not before, however much news comes.
+    Instant planAgainAt_ {}; ///< Earliest time of the next planning pass.
     std::function<void()> onStopped_;
-    std::optional<Instant> stoppedAt_; ///< Since when the replica is stopped.
-    Instant stopAskedAt_ {};
+    std::optional<Instant> stoppedAt_; ///< When the replica stopped.
+    Instant stopRequestedAt_ {};
     Instant leadingSince_ {};
-    Instant nextKeep_ {};
+    Instant nextEndpointSave_ {};
     Instant nextJoin_ {};
     Instant nextPlan_ {};
     Instant nextLoads_ {};
--- a/fleet/core.h
+++ b/fleet/core.h
@@ -1,16 +1,16 @@
-// The control process of a fleet that forms its own group, put together.
+// The control process of a fleet whose controls form their own replicated group.
 //
 //   auto core = Core { context, options, clock, port, readDocument };
 //   if (auto status = core.start(); !status.ok()) ...
-//   core.propose(document, done);      core.read();      core.registry().hear(row);
+//   core.propose(document, done);      core.read();      core.registry().onAnnouncement(row);
 //   core.requestStop(onStopped);
 //
-// The replicated log holds the configuration document; endpoints, gateways and
-// demand are soft. The leader alone orders loads. A replica whose disk fails is
-// stopped and started again from the disk every restartEvery: endpoints and
-// gateways are served meanwhile by what is in memory.
+// The replicated log holds the configuration document. Endpoints, gateways and
+// demand are soft state, kept in memory. Only the leader orders loads. A replica
+// whose disk fails is stopped and restarted from the disk every restartEvery;
+// in the meantime endpoints and gateways are served from memory.
 //
-// Everything runs on the context's one thread.
+// Everything runs on the context's single thread.
 
 #ifndef FIGRACK_FLEET_CORE_H
 #define FIGRACK_FLEET_CORE_H
@@ -45,42 +45,43 @@
 {
     NodeId name;
     DomainId domain;
-    Address peers; ///< Where controls and gateways connect.
+    Address peers; ///< Address on which this control accepts other controls and gateways.
     std::string dataFolder;
-    std::vector<Address> seeds; ///< Controls' addresses for peers.
+    std::vector<Address> seeds; ///< Peer addresses of the controls.
     bool bootstrap = false;     ///< The fleet starts for the first time, with empty disks.
     std::shared_ptr<proto::PeerKeys> keys;
-    coord::ReplicaOptions replica; ///< self and founders are filled in by the core.
+    coord::ReplicaOptions replica; ///< The core fills in self and founders.
     GroupOptions group;
     RegistryOptions registry;
     OrderOptions orders;
     BalancerOptions balancer;
     AccountLedgerOptions ledger;
     DocumentProofOptions proof;
-    /// A new leader gives its first order only after any order of the one before is too old to
-    /// count as a turn of two holders.
+    /// A new leader sends its first order only when every order of its predecessor is so old that
+    /// orders of the two cannot count as alternating.
     Duration orderQuarantine = std::chrono::milliseconds { 3300 };
-    /// A change that is not committed within it is answered as unclear; endpoints and operators
-    /// wait for a second.
+    /// A change that is not committed within this time is answered with an unknown outcome.
+    /// Endpoints and operators wait for one second.
     Duration proposalTimeout = std::chrono::milliseconds { 900 };
-    /// For gateways to obey a change that is committed, before it is acknowledged. Some hundred
-    /// milliseconds at size; one that stands still delays each change by it.
-    Duration spreadPatience = std::chrono::milliseconds { 400 };
-    /// Endpoints are kept for a restart as often, when they have changed.
+    /// How long to wait for gateways to apply a committed change before it is acknowledged. In a
+    /// large fleet they take a few hundred milliseconds. A gateway that hangs delays every change
+    /// by this time.
+    Duration rolloutTimeout = std::chrono::milliseconds { 400 };
+    /// Interval at which the endpoints are saved for a restart, if they have changed.
     Duration saveEndpointsEvery = std::chrono::seconds { 1 };
     Duration restartEvery = std::chrono::seconds { 1 };
     DemandWindows demand;
-    /// Gateways report what they have in progress as often.
+    /// Interval at which gateways report their requests in progress.
     Duration loadsEvery = std::chrono::milliseconds { 500 };
-    /// Looks at placement that no report has set off; crowded replicas are found by it.
+    /// Interval of planning passes that no report has triggered. They find overloaded replicas.
     Duration planEvery = std::chrono::milliseconds { 500 };
 };
 
-/// Where the newest document can be had.
+/// Where the newest document can be read.
 struct ReadResult
 {
-    const Document *document = nullptr; ///< Proven to be the newest.
-    std::optional<Address> leader;      ///< Otherwise: the leader's address for peers, if known.
+    const Document *document = nullptr; ///< Proven to be the newest; nullptr: not available here.
+    std::optional<Address> leader; ///< Without a document: the leader's peer address, if known.
 };
 
 class Core
@@ -89,31 +90,33 @@
     using ReadDocument = std::function<absl::StatusOr<catalogue::Catalogue>(std::string_view)>;
     using Done = std::function<void(absl::Status)>;
 
-    /// @param port outlives the core
+    /// @param port must outlive the core
     Core(boost::asio::io_context &context, CoreOptions options, const Clock &clock,
          const OrderPort &port, ReadDocument readDocument, std::uint64_t seed);
     ~Core();
-    /// @return BadSettings; a disk that fails is tried again instead
+    /// @return BadSettings; a failing disk is not an error here but is retried
     auto start() -> absl::Status;
     auto requestStop(std::function<void()> onStopped) -> void;
     auto reload(const std::vector<Address> &seeds) -> void;
 
-    /// Only where read() gives the document. @param document checked by the caller
-    /// @param done OK once it is committed or was overtaken, and the gateways obey it or have had
-    /// spreadPatience for it; else the outcome is unknown
+    /// Proposes a document. Call it only where read() returns a document. @param document already
+    /// checked by the caller
+    /// @param done OK when the document is committed or superseded by a newer one, and the gateways
+    /// have applied it or rolloutTimeout has passed; otherwise the outcome is unknown
     auto propose(const Document &document, Done done) -> void;
     auto read() const -> ReadResult;
     auto registry() -> Registry &;
-    /// An endpoint's announcement. @param row as decoded
-    /// @param done called once: OK when it was taken in and, of one that leaves, no gateway sends
-    /// new work there; BadRequest when its service is in no configuration; else NoQuorum
+    /// Handles an endpoint's announcement. @param row the decoded announcement
+    /// @param done called once: OK when the announcement was accepted and, if the endpoint is
+    /// leaving, no gateway sends it new work; BadRequest when no configuration names its service;
+    /// otherwise NoQuorum
     auto onAnnouncement(const catalogue::EndpointRow &row, Done done) -> void;
-    /// An endpoint says that it is gone. @param id without an incarnation: the one in use
+    /// Handles an endpoint's deregistration. @param id without an incarnation: the one in use
     auto onDeregistration(const EndpointId &id, Done done) -> void;
-    /// What somebody said of an endpoint could not be read.
+    /// Reports a message about an endpoint that could not be decoded.
     auto onBadAnnouncement(const absl::Status &reason) -> void;
     auto metricsPage() -> std::string;
-    /// @return true while an order may leave: this control leads and its lease holds
+    /// @return true while orders may be sent: this control leads and holds a valid lease
     auto mayOrder() const -> bool;
 
 private:
--- a/fleet/demandtable.cpp
+++ b/fleet/demandtable.cpp
@@ -7,14 +7,14 @@
 namespace figrack::fleet {
 namespace {
 
-/// Below it a rate is forgotten: one arrival in a few minutes.
+/// A rate below this is forgotten: one arrival in a few minutes.
 constexpr auto negligible = 0.003;
-/// Not with each report: a leader before 291 gateways has 66 reports a second or more, and some
-/// 1,500 rates to look through.
+/// Rates are not cleaned up with each report: a leader with 291 gateways gets 66 or more reports a
+/// second and has about 1,500 rates to check.
 constexpr auto forgetEvery = std::chrono::seconds { 1 };
-/// One event decays to 1/e = 0.37 in a window, and counts for so long.
+/// An event decays to 1/e = 0.37 within a window, and is counted for that long.
 constexpr auto roundUp = 0.63;
-/// Arrivals a second from which on a few seconds tell the rate.
+/// Arrivals per second from which a few seconds are enough to estimate the rate.
 constexpr auto steadyRate = 1.0;
 
 } // namespace
@@ -26,18 +26,18 @@
 
 auto DemandTable::onReport(const NodeId &gateway, const proto::ModelWanted &report) -> bool
 {
-    auto lacks = false;
+    auto unserved = false;
     for (const auto &row : report.rows) {
-        lacks = lacks || row.waiting + row.refused > 0;
+        unserved = unserved || row.waiting + row.refused > 0;
         const auto target = Target { row.service, row.model, row.adapter };
         add(arrivals_, target, row.arrived, windows_.slow);
         add(recentArrivals_, target, row.arrived, windows_.fast);
         add(refusals_, target, row.refused, windows_.fast);
-        add(lates_, target, row.late, windows_.fast);
+        add(lateRequests_, target, row.late, windows_.fast);
     }
     latest_[gateway] = report;
     forgetOld();
-    return lacks;
+    return unserved;
 }
 
 auto DemandTable::add(Rates &rates, const Target &target, std::uint32_t count, Duration window)
@@ -57,7 +57,7 @@
         return;
     nextForget_ = now + forgetEvery;
     forgetNegligible(arrivals_, windows_.slow);
-    for (auto *rates : { &recentArrivals_, &refusals_, &lates_ })
+    for (auto *rates : { &recentArrivals_, &refusals_, &lateRequests_ })
         forgetNegligible(*rates, windows_.fast);
 }
 
@@ -99,7 +99,7 @@
         if (!target.adapter.empty())
             result.adapters[{ target.model, target.adapter }].refused += recent(rate);
     }
-    for (const auto &[target, rate] : lates_) {
+    for (const auto &[target, rate] : lateRequests_) {
         if (target.service == service)
             result.models[target.model].late += recent(rate);
     }
@@ -151,7 +151,7 @@
     arrivals_.clear();
     recentArrivals_.clear();
     refusals_.clear();
-    lates_.clear();
+    lateRequests_.clear();
     latest_.clear();
 }
 
--- a/fleet/demandtable.h
+++ b/fleet/demandtable.h
@@ -1,11 +1,11 @@
-// What all gateways together ask of the models, from their reports.
+// Demand for models and adapters, summed over the reports of all gateways.
 //
 //   table.onReport(gateway, report);
 //   table.onGatewayLost(gateway);
-//   const auto asked = table.of(service);
+//   const auto demand = table.of(service);
 //
-// Arrivals are averaged with an exponential window; what waits and runs is each
-// gateway's latest word. Not thread-safe.
+// Arrivals are averaged with an exponential window. The numbers of waiting and
+// running requests are those of each gateway's latest report. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_DEMANDTABLE_H
 #define FIGRACK_FLEET_DEMANDTABLE_H
@@ -22,16 +22,16 @@
 
 struct ServiceDemand
 {
-    std::map<ModelId, Asked> models; ///< Adapters' requests counted with their model.
-    std::map<AdapterKey, Asked> adapters;
+    std::map<ModelId, RequestDemand> models; ///< Includes the requests for a model's adapters.
+    std::map<AdapterKey, RequestDemand> adapters;
 };
 
 struct DemandWindows
 {
-    /// Of models that are asked for now and then.
+    /// For models that are requested only occasionally.
     Duration slow = std::chrono::seconds { 8 };
-    /// Of models that are asked for once a second and more, and of requests that were missed:
-    /// demand moves to other models within some seconds, and a load takes up to six.
+    /// For models that are requested at least once a second, and for missed requests: demand moves
+    /// to other models within a few seconds, and a load takes up to six.
     Duration fast = std::chrono::seconds { 3 };
 };
 
@@ -39,13 +39,13 @@
 {
 public:
     DemandTable(DemandWindows windows, const Clock &clock);
-    /// @return true when requests wait for a load, or were refused for want of one
+    /// @return true when requests wait for a load, or were refused because there was none
     auto onReport(const NodeId &gateway, const proto::ModelWanted &report) -> bool;
     auto onGatewayLost(const NodeId &gateway) -> void;
     auto of(const ServiceId &service) const -> ServiceDemand;
     /// @return requests in progress by endpoint, over all gateways
     auto loads() const -> std::vector<proto::EndpointLoad>;
-    /// @return endpoints that some gateway could not reach, by its latest report
+    /// @return endpoints that some gateway could not reach, according to its latest report
     auto unreachable() const -> std::set<EndpointId>;
     auto clear() -> void;
 
@@ -58,7 +58,7 @@
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 takes the comparison with 0 for one.
         auto operator<=>(const Target &) const = default;
     };
-    /// Events a second, by an exponential window.
+    /// Events per second, averaged over an exponential window.
     struct Rate
     {
         double perSecond = 0;
@@ -66,7 +66,7 @@
     };
     using Rates = std::map<Target, Rate>;
     auto decayed(const Rate &rate, Duration window) const -> double;
-    /// @return events of the last fast window, rounded
+    /// @return the number of events in the last fast window, rounded
     auto recent(const Rate &rate) const -> std::uint32_t;
     auto add(Rates &rates, const Target &target, std::uint32_t count, Duration window) -> void;
     auto forgetOld() -> void;
@@ -75,10 +75,10 @@
 
     DemandWindows windows_;
     const Clock &clock_;
-    Rates arrivals_;       ///< By the slow window.
-    Rates recentArrivals_; ///< By the fast one, as all below.
+    Rates arrivals_;       ///< With the slow window.
+    Rates recentArrivals_; ///< With the fast window, like all rates below.
     Rates refusals_;
-    Rates lates_;
+    Rates lateRequests_;
     std::map<NodeId, proto::ModelWanted> latest_;
     Instant nextForget_ {};
 };
--- a/fleet/documentproof.cpp
+++ b/fleet/documentproof.cpp
@@ -21,7 +21,7 @@
 {
     const auto now = clock_.now();
     if (!asking_.empty()) {
-        if (poll_.required() || now - queriedAt_ < options_.repeatEvery)
+        if (poll_.required() || now - queriedAt_ < options_.retryInterval)
             return std::nullopt;
         queriedAt_ = now;
         return poll_.query();
@@ -45,7 +45,8 @@
         return;
     const auto passed = clock_.now() - begunAt_;
     const auto required = poll_.required();
-    if (required && (*required <= newest || poll_.isComplete() || passed >= options_.awaitOthers)) {
+    if (required
+        && (*required <= newest || poll_.isComplete() || passed >= options_.lateVoterWait)) {
         end(*required);
     } else if (passed >= options_.giveUpAfter) {
         LogEvent(LogLevel::Warning, "document_not_proved")
--- a/fleet/documentproof.h
+++ b/fleet/documentproof.h
@@ -1,14 +1,15 @@
-// Answers gateways that ask which document they must obey to be current.
+// Answers gateways that ask which document version they must apply to be current.
 //
 //   proof.ask(gateway, correlation);
 //   if (const auto query = proof.nextQuery()) send(*query);     // to every voter; with each tick
 //   proof.onReply(reply, newest);
 //   proof.settle(newest);                                       // with each tick
 //
-// Questions are collected and one round of a RevisionPoll answers all that came
-// before it began, so that a control asks its peers as often whether it has eight
-// gateways or two hundred. A control that reaches no majority says at once that it
-// can prove nothing; the gateway asks another. Not thread-safe.
+// Questions are collected, and one round of a RevisionPoll answers all of those
+// that arrived before it started. So a control queries its peers equally often
+// with eight gateways as with two hundred. A control that reaches no majority
+// answers that it can prove nothing, and the gateway asks another one. Not
+// thread-safe.
 
 #ifndef FIGRACK_FLEET_DOCUMENTPROOF_H
 #define FIGRACK_FLEET_DOCUMENTPROOF_H
@@ -25,15 +26,17 @@
 
 struct DocumentProofOptions
 {
-    /// Between the beginnings of two rounds. Taken from the age that a gateway's proof may have.
+    /// Time between the starts of two rounds. It is part of the age that a gateway's proof may
+    /// have.
     Duration roundEvery = std::chrono::milliseconds { 400 };
-    /// A majority that requires a document which is not committed yet is given so long for a voter
-    /// that does not; round trips between failure domains take some milliseconds.
-    Duration awaitOthers = std::chrono::milliseconds { 60 };
-    /// A round without a majority asks again as often: after a loss of all processes the voters
-    /// become reachable one after the other, and gateways refuse work with keys until then.
-    Duration repeatEvery = std::chrono::milliseconds { 100 };
-    /// Without a majority for so long nothing is proved.
+    /// When a majority requires a document that is not committed yet, how long to wait for a voter
+    /// that does not require it. Round trips between failure domains take a few milliseconds.
+    Duration lateVoterWait = std::chrono::milliseconds { 60 };
+    /// Interval at which a round without a majority queries again. After a loss of all processes
+    /// the voters become reachable one after the other, and until then gateways refuse requests
+    /// with keys.
+    Duration retryInterval = std::chrono::milliseconds { 100 };
+    /// A round that has no majority after this time proves nothing.
     Duration giveUpAfter = std::chrono::milliseconds { 500 };
 };
 
@@ -41,11 +44,11 @@
 {
 public:
     DocumentProof(DocumentProofOptions options, const Clock &clock);
-    /// @param correlation of the question, which the answer bears
+    /// @param correlation of the question, copied into the answer
     auto ask(proto::PeerPointer gateway, std::uint64_t correlation) -> void;
-    /// @return the query to send to every voter, this control among them; nullopt: none is due
+    /// @return the query to send to every voter, including this control; nullopt: none is due
     auto nextQuery() -> std::optional<coord::RevisionQuery>;
-    /// @param newest document that this control knows to be committed
+    /// @param newest version of the newest document that this control knows to be committed
     auto onReply(const coord::RevisionReply &reply, Revision newest) -> void;
     auto settle(Revision newest) -> void;
 
@@ -60,8 +63,8 @@
     DocumentProofOptions options_;
     const Clock &clock_;
     coord::RevisionPoll poll_;
-    std::vector<Question> waiting_; ///< For the next round.
-    std::vector<Question> asking_;  ///< That the round under way answers; empty: none is.
+    std::vector<Question> waiting_; ///< To be answered by the next round.
+    std::vector<Question> asking_;  ///< Answered by the current round; empty: there is none.
     Instant begunAt_;
     Instant queriedAt_ {};
 };
--- a/fleet/documentrollout.cpp
+++ b/fleet/documentrollout.cpp
@@ -7,12 +7,12 @@
 
 namespace figrack::fleet {
 
-DocumentSpread::DocumentSpread(const Clock &clock, Metrics &metrics)
+DocumentRollout::DocumentRollout(const Clock &clock, Metrics &metrics)
     : clock_(clock)
     , metrics_(metrics)
 { }
 
-auto DocumentSpread::onSubscribed(const proto::PeerPointer &peer, bool ready, Revision version)
+auto DocumentRollout::onSubscribed(const proto::PeerPointer &peer, bool ready, Revision version)
         -> void
 {
     auto &gateway = gateways_[peer.get()];
@@ -22,37 +22,37 @@
     settle();
 }
 
-auto DocumentSpread::onInForce(const proto::PeerPointer &peer, Revision version) -> void
+auto DocumentRollout::onInForce(const proto::PeerPointer &peer, Revision version) -> void
 {
     const auto found = gateways_.find(peer.get());
     if (found == gateways_.end())
-        return; // It tells all that it knows when it subscribes.
+        return; // The gateway reports its version when it subscribes.
     found->second.version = std::max(found->second.version, version);
     settle();
 }
 
-auto DocumentSpread::onLost(const proto::PeerPointer &peer) -> void
+auto DocumentRollout::onLost(const proto::PeerPointer &peer) -> void
 {
     if (gateways_.erase(peer.get()) > 0)
         settle();
 }
 
-auto DocumentSpread::await(Revision version, Instant deadline, Done done) -> void
+auto DocumentRollout::await(Revision version, Instant deadline, Done done) -> void
 {
     waiting_.push_back({ version, clock_.now(), deadline, std::move(done) });
     settle();
 }
 
-auto DocumentSpread::settle() -> void
+auto DocumentRollout::settle() -> void
 {
     const auto now = clock_.now();
     auto ended = std::vector<std::pair<Waiting, std::vector<NodeId>>> {};
     for (auto item = waiting_.begin(); item != waiting_.end();) {
-        if (now < item->deadline && isLacked(item->version)) {
+        if (now < item->deadline && hasGatewayBehind(item->version)) {
             ++item;
             continue;
         }
-        auto without = lacking(item->version);
+        auto without = gatewaysBehind(item->version);
         ended.emplace_back(std::move(*item), std::move(without));
         item = waiting_.erase(item);
     }
@@ -60,15 +60,15 @@
         end(waiting, without);
 }
 
-/// Ends at the first that lacks it: it is asked with each word of a gateway.
-auto DocumentSpread::isLacked(Revision version) const -> bool
+/// Stops at the first gateway that is behind, since this is called for each report of a gateway.
+auto DocumentRollout::hasGatewayBehind(Revision version) const -> bool
 {
     return std::any_of(gateways_.begin(), gateways_.end(), [version](const auto &item) {
         return item.second.ready && item.second.version < version;
     });
 }
 
-auto DocumentSpread::lacking(Revision version) const -> std::vector<NodeId>
+auto DocumentRollout::gatewaysBehind(Revision version) const -> std::vector<NodeId>
 {
     auto result = std::vector<NodeId> {};
     for (const auto &[peer, gateway] : gateways_) {
@@ -78,18 +78,19 @@
     return result;
 }
 
-auto DocumentSpread::end(const Waiting &waiting, const std::vector<NodeId> &lacking) const -> void
+auto DocumentRollout::end(const Waiting &waiting, const std::vector<NodeId> &gatewaysBehind) const
+        -> void
 {
     const auto took = clock_.now() - waiting.since;
-    auto line
-            = LogEvent { lacking.empty() ? LogLevel::Info : LogLevel::Warning, "document_spread" };
+    auto line = LogEvent { gatewaysBehind.empty() ? LogLevel::Info : LogLevel::Warning,
+                           "document_spread" };
     line.with("version", waiting.version)
             .with("gateways", static_cast<std::uint64_t>(gateways_.size()))
-            .with("lacking", static_cast<std::uint64_t>(lacking.size()))
+            .with("lacking", static_cast<std::uint64_t>(gatewaysBehind.size()))
             .with("waited_ms", std::chrono::duration_cast<std::chrono::milliseconds>(took).count());
-    if (!lacking.empty())
-        line.with("first_lacking", lacking.front());
-    metrics_.onAcknowledged(took, lacking.size());
+    if (!gatewaysBehind.empty())
+        line.with("first_lacking", gatewaysBehind.front());
+    metrics_.onAcknowledged(took, gatewaysBehind.size());
     waiting.done();
 }
 
--- a/fleet/documentrollout.h
+++ b/fleet/documentrollout.h
@@ -1,17 +1,17 @@
-// Which gateways obey which document, and who waits for a document to be in force.
+// Tracks which document each gateway has in force, and waits until all of them have a given one.
 //
-//   spread.onSubscribed(peer, ready, version);   spread.onInForce(peer, version);
-//   spread.await(version, deadline, done);       // after the commit
-//   spread.settle();                             // with each tick
+//   rollout.onSubscribed(peer, ready, version);   rollout.onInForce(peer, version);
+//   rollout.await(version, deadline, done);       // after the commit
+//   rollout.settle();                             // with each tick
 //
-// An operator is told that a change is accepted once each gateway that callers may
-// be sent to obeys it, or at the deadline: a gateway that stands still must not
-// keep operators from changing anything, and may be behind anyway. So what follows
-// an acknowledgement finds the change in force at all gateways that answer.
+// A change is acknowledged to the operator when each gateway that callers may be
+// directed to has it in force, or at the deadline: a gateway that hangs must not
+// block all changes, and may be behind anyway. So after an acknowledgement, the
+// change is in force at all gateways that respond.
 //
-// Soft state of the leader: after a change of leader it is complete once the
-// gateways have told the new one. Not thread-safe; done is called from settle(),
-// onInForce() and onLost().
+// Soft state of the leader. After a change of leader it is complete when the
+// gateways have reported to the new one. Not thread-safe; done is called from
+// await(), settle(), onInForce() and onLost().
 
 #ifndef FIGRACK_FLEET_DOCUMENTROLLOUT_H
 #define FIGRACK_FLEET_DOCUMENTROLLOUT_H
@@ -27,20 +27,20 @@
 
 namespace figrack::fleet {
 
-class DocumentSpread
+class DocumentRollout
 {
 public:
     using Done = std::function<void()>;
-    /// @param metrics outlives this
-    DocumentSpread(const Clock &clock, Metrics &metrics);
+    /// @param metrics must outlive this object
+    DocumentRollout(const Clock &clock, Metrics &metrics);
 
-    /// A gateway subscribes, or says anew whether callers may be sent to it.
-    /// @param version that it obeys; 0: none
+    /// Call when a gateway subscribes, or changes whether callers may be directed to it.
+    /// @param version the version that it has in force; 0: none
     auto onSubscribed(const proto::PeerPointer &peer, bool ready, Revision version) -> void;
     auto onInForce(const proto::PeerPointer &peer, Revision version) -> void;
     auto onLost(const proto::PeerPointer &peer) -> void;
-    /// @param done called once: when all ready gateways obey the version or a newer one, or at the
-    /// deadline; perhaps at once
+    /// @param done called once: when all ready gateways have the version or a newer one in force,
+    /// or at the deadline; possibly before await() returns
     auto await(Revision version, Instant deadline, Done done) -> void;
     auto settle() -> void;
 
@@ -59,9 +59,9 @@
         Done done;
     };
 
-    auto isLacked(Revision version) const -> bool;
-    auto lacking(Revision version) const -> std::vector<NodeId>;
-    auto end(const Waiting &waiting, const std::vector<NodeId> &lacking) const -> void;
+    auto hasGatewayBehind(Revision version) const -> bool;
+    auto gatewaysBehind(Revision version) const -> std::vector<NodeId>;
+    auto end(const Waiting &waiting, const std::vector<NodeId> &gatewaysBehind) const -> void;
 
     const Clock &clock_;
     Metrics &metrics_;
--- a/fleet/documentvoter.cpp
+++ b/fleet/documentvoter.cpp
@@ -17,7 +17,7 @@
         grantor_.onTruncated(entry.index);
         return;
     }
-    // What cannot be read is never applied either.
+    // An entry that cannot be decoded is never applied either.
     if (const auto version = ConfigLog::versionOf(entry))
         grantor_.onStored(entry.index, *version);
 }
--- a/fleet/documentvoter.h
+++ b/fleet/documentvoter.h
@@ -1,4 +1,4 @@
-// What this control, as a voter of the replicated log, requires gateways to obey.
+// Answers, as a voter of the replicated log, which document version gateways must apply.
 //
 //   auto voter = DocumentVoter { self };
 //   replica.setStoredHook([&](const auto &entry, bool stored) { voter.onStored(entry, stored); });
@@ -6,8 +6,8 @@
 //   if (replica.start().ok()) voter.onRecovered();
 //   auto reply = voter.answer(query, replica.status().membership);
 //
-// One for each life of a replica: a new one requires what the disk holds, and
-// answers only once all of that has been passed in. Not thread-safe.
+// Create a new voter each time the replica is started. It requires what the disk
+// holds, and answers only when all of that has been passed in. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_DOCUMENTVOTER_H
 #define FIGRACK_FLEET_DOCUMENTVOTER_H
@@ -23,10 +23,10 @@
 public:
     explicit DocumentVoter(NodeId self);
     auto onStored(const coord::Entry &entry, bool stored) -> void;
-    /// @param version of the document that stands after the entry
+    /// @param version version of the document after the entry was applied
     auto onApplied(LogIndex index, Revision version) -> void;
     auto onRecovered() -> void;
-    /// @param membership the latest in the log, committed or not
+    /// @param membership the latest in the log, whether committed or not
     auto answer(const coord::RevisionQuery &query, const coord::Membership &membership) const
             -> coord::RevisionReply;
 
--- a/fleet/group.cpp
+++ b/fleet/group.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-GroupKeeper::GroupKeeper(GroupOptions options, const Clock &clock)
+GroupManager::GroupManager(GroupOptions options, const Clock &clock)
     : options_(options)
     , clock_(clock)
 { }
 
-auto GroupKeeper::onJoin(coord::Replica &replica, const coord::Member &member) -> void
+auto GroupManager::onJoin(coord::Replica &replica, const coord::Member &member) -> void
 {
     const auto status = replica.status();
     if (status.role != coord::Role::Leader)
@@ -36,7 +36,7 @@
         logChange("remove_wiped", member.node, replica.remove(member.node).status());
 }
 
-auto GroupKeeper::tick(coord::Replica &replica) -> void
+auto GroupManager::tick(coord::Replica &replica) -> void
 {
     const auto status = replica.status();
     if (status.role != coord::Role::Leader) {
@@ -51,7 +51,7 @@
     removeSilent(replica, learnerReady);
 }
 
-auto GroupKeeper::noteHeard(const coord::Replica &replica) -> void
+auto GroupManager::noteHeard(const coord::Replica &replica) -> void
 {
     const auto now = clock_.now();
     const auto isNew = !std::exchange(leads_, true);
@@ -61,9 +61,9 @@
     }
 }
 
-/// Promotes one learner that has caught up, unless a lost voter should make room first.
+/// Promotes one learner that has caught up, unless a lost voter should be removed first.
 /// @return true when a learner is ready
-auto GroupKeeper::promoteReady(coord::Replica &replica) -> bool
+auto GroupManager::promoteReady(coord::Replica &replica) -> bool
 {
     const auto membership = replica.status().membership;
     const auto now = clock_.now();
@@ -84,15 +84,15 @@
     return false;
 }
 
-auto GroupKeeper::removeSilent(coord::Replica &replica, bool learnerReady) -> void
+auto GroupManager::removeSilent(coord::Replica &replica, bool learnerReady) -> void
 {
     const auto status = replica.status();
     if (status.membershipChanging)
         return;
-    const auto patience = learnerReady ? options_.replaceAfter : options_.removeAfter;
+    const auto silenceLimit = learnerReady ? options_.replaceAfter : options_.removeAfter;
     const auto now = clock_.now();
     for (const auto &member : status.membership.members) {
-        if (now - heardAt_[member.node] < patience)
+        if (now - heardAt_[member.node] < silenceLimit)
             continue;
         const auto isVoter = member.kind == coord::MemberKind::Voter;
         if (isVoter && status.membership.voterCount() <= options_.minVoters)
--- a/fleet/group.h
+++ b/fleet/group.h
@@ -1,18 +1,18 @@
-// A group that takes in new members and replaces lost ones by itself.
+// Adds new members to a control group and replaces lost ones automatically.
 //
-//   auto keeper = GroupKeeper { options, clock };
-//   keeper.onJoin(replica, member);     // a control asks to become a member
-//   keeper.tick(replica);               // a few times a second, on every control
+//   auto manager = GroupManager { options, clock };
+//   manager.onJoin(replica, member);     // a control asks to become a member
+//   manager.tick(replica);               // a few times a second, on every control
 //
-// What a leader does, one change at a time: a disk that is listed under another
-// incarnation of its node is removed, since it remembers nothing; a control that
-// asks and is not listed becomes a learner; a learner that has caught up becomes
-// a voter; a voter that has been silent for removeAfter is removed as long as
-// minVoters that are heard remain. A removed voter that comes back asks to join
-// like a new one.
+// The leader makes one change at a time. A member whose node has restarted with
+// another incarnation of its disk is removed, since that disk has lost its state.
+// A control that asks to join and is not a member becomes a learner. A learner
+// that has caught up becomes a voter. A voter that has been silent for
+// removeAfter is removed if at least minVoters responding voters remain. A
+// removed voter that returns asks to join like a new one.
 //
-// Guarantee: no change is made that leaves fewer than a majority of voters that
-// are heard; coord/memberchange.cpp checks that again. Not thread-safe.
+// Guarantee: no change leaves fewer than a majority of voters that respond;
+// coord/memberchange.cpp checks that again. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_GROUP_H
 #define FIGRACK_FLEET_GROUP_H
@@ -26,19 +26,20 @@
 
 struct GroupOptions
 {
-    /// Silent for so long, a voter is taken for lost. Longer than a restart, a cut that heals or
-    /// a disk that stalls usually take, since each removal costs a learner's catching up.
+    /// A voter that is silent for this time is considered lost. This is longer than a restart, a
+    /// short network partition or a disk stall usually takes, since the learner that replaces a
+    /// removed voter has to catch up first.
     Duration removeAfter = std::chrono::seconds { 10 };
-    /// With a learner ready to take its place, a voter is taken for lost sooner.
+    /// The same, when a learner is ready to replace the voter.
     Duration replaceAfter = std::chrono::seconds { 4 };
     std::size_t minVoters = 3; ///< A smaller group would not survive the loss of one disk.
 };
 
-class GroupKeeper
+class GroupManager
 {
 public:
-    GroupKeeper(GroupOptions options, const Clock &clock);
-    /// On the leader. @param member who asks, with its disk's incarnation
+    GroupManager(GroupOptions options, const Clock &clock);
+    /// Call on the leader. @param member the control that asks, with its disk's incarnation
     auto onJoin(coord::Replica &replica, const coord::Member &member) -> void;
     auto tick(coord::Replica &replica) -> void;
 
@@ -50,7 +51,7 @@
     GroupOptions options_;
     const Clock &clock_;
     bool leads_ = false;
-    std::map<NodeId, Instant> heardAt_; ///< By this leader, since it leads.
+    std::map<NodeId, Instant> heardAt_; ///< When this leader last heard from each, in its term.
 };
 
 } // namespace figrack::fleet
--- a/fleet/knownservices.cpp
+++ b/fleet/knownservices.cpp
@@ -19,7 +19,7 @@
     return !read(newest) || services_.contains(service);
 }
 
-/// @return false when the document cannot be read, and so says nothing of services
+/// @return false when the document cannot be parsed, so that its services are unknown
 auto KnownServices::read(const Document &document) -> bool
 {
     const auto catalogue = readDocument_(document.text);
--- a/fleet/knownservices.h
+++ b/fleet/knownservices.h
@@ -1,10 +1,10 @@
-// The services that configurations have named, so that whoever announces itself for
-// another is told apart from an endpoint.
+// The services that configurations have named. Announcements for any other service
+// do not come from endpoints.
 //
 //   if (!services.knows(row.service, newest)) refuse(row);
 //
-// A service that a later configuration drops stays known: its endpoints still leave
-// in order. Not thread-safe.
+// A service that a later configuration removes stays known, so that its endpoints
+// can still leave normally. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_KNOWNSERVICES_H
 #define FIGRACK_FLEET_KNOWNSERVICES_H
@@ -25,9 +25,9 @@
 public:
     using ReadDocument = std::function<absl::StatusOr<catalogue::Catalogue>(std::string_view)>;
     explicit KnownServices(ReadDocument readDocument);
-    /// @param newest the newest document that is known; an unknown name costs reading it, once for
-    /// each version
-    /// @return true when the service was ever named here, or no document can say
+    /// @param newest the newest known document. An unknown service name costs parsing it, once per
+    /// version
+    /// @return true when any document named the service, or no document could be read
     auto knows(const ServiceId &service, const Document &newest) -> bool;
 
 private:
@@ -35,7 +35,7 @@
 
     ReadDocument readDocument_;
     std::set<ServiceId> services_;
-    Revision version_; ///< That was read last.
+    Revision version_; ///< Of the document that was read last.
 };
 
 } // namespace figrack::fleet
--- a/fleet/lastknown.cpp
+++ b/fleet/lastknown.cpp
@@ -1,6 +1,7 @@
-// A file each for the document, the endpoints and suspected work: a checksum, then the value. It
-// is written under a temporary name, synced, renamed, and the folder synced, so a
-// loss of power leaves the old state or the new one.
+// There is one file each for the document, the endpoints and the suspected work. A
+// file contains a checksum followed by the value. It is written under a temporary
+// name, synced and renamed, and then its folder is synced, so that after a power
+// loss it holds either the old state or the new one.
 
 #include "fleet/lastknown.h"
 
@@ -21,9 +22,10 @@
 constexpr auto documentName = "known-document";
 constexpr auto endpointsName = "known-endpoints";
 constexpr auto suspectsName = "known-suspects";
-/// The log's recovery removes files of such a name that were left behind.
+/// The recovery of the log removes leftover files with this suffix.
 constexpr auto temporarySuffix = ".tmp";
-/// After a failed write. A disk that is full or stalled is so for seconds; bounds the log, too.
+/// Time until a failed write is retried. A disk that is full or stalled usually stays so for
+/// seconds; the delay also limits the log output.
 constexpr auto retryPause = std::chrono::seconds { 1 };
 
 auto checksum(std::string_view payload) -> std::uint64_t
@@ -37,7 +39,7 @@
     return std::string { sum.data(), sum.size() } + payload;
 }
 
-/// @return Malformed for bytes that seal() did not give
+/// @return Malformed for bytes that were not produced by seal()
 template<typename T>
 auto unseal(std::string_view bytes, T &value) -> absl::Status
 {
@@ -130,7 +132,7 @@
     while (true) {
         wake_.wait(lock, [this] { return stopping_ || !pending_.empty(); });
         if (pending_.empty())
-            return; // All is written that was saved before the end.
+            return; // Everything that was saved before the destructor ran is written.
         const auto atEnd = stopping_;
         auto next = pending_.extract(pending_.begin());
         lock.unlock();
@@ -145,7 +147,8 @@
                 .with(status);
         if (givesUp)
             continue;
-        // For a document no other save may come. What was saved meanwhile is newer, and stays.
+        // Retry even if nothing else is saved: a document may have no successor. State that was
+        // saved in the meantime is newer and stays.
         pending_.insert(std::move(next));
         wake_.wait_for(lock, retryPause, [this] { return stopping_; });
     }
@@ -155,11 +158,11 @@
 {
     const auto path = folder_ + name;
     const auto temporary = path + temporarySuffix;
-    // A file that a failed write left behind would be appended to.
-    const auto left = disk_.read(temporary);
-    if (!left.ok())
-        return left.status();
-    if (left->has_value()) {
+    // Remove the file of an earlier failed write, since data would be appended to it.
+    const auto leftover = disk_.read(temporary);
+    if (!leftover.ok())
+        return leftover.status();
+    if (leftover->has_value()) {
         if (auto status = disk_.remove(temporary); !status.ok())
             return status;
     }
--- a/fleet/lastknown.h
+++ b/fleet/lastknown.h
@@ -1,29 +1,29 @@
-// What a control knew last, kept on its disk beside the replicated log.
+// The last known state of a control, kept on its disk next to the replicated log.
 //
 //   auto store = LastKnownStore { folder, disk };
 //   const auto document = store.loadDocument();   // empty when there is none
-//   store.save(document);                         // returns at once; written soon
+//   store.save(document);                         // returns at once; written in the background
 //   store.save(endpoints);
 //   store.save(suspects);
 //
 // When all processes of a fleet are lost at once, gateways need a document and
-// endpoints before they can serve, and both came from memory: a document only
-// after an election had committed an entry (0.7 to 1.5 s after the start), an
-// endpoint when it announced itself (0 to 1.2 s). With what is kept here they
-// serve 0.2 s after the start.
+// endpoints before they can serve. Without this store both are unavailable for a
+// while after the start: a document until an election has committed an entry (0.7
+// to 1.5 s), an endpoint until it announces itself (0 to 1.2 s). With the store,
+// gateways serve 0.2 s after the start.
 //
-// Suspected work is kept for the same case: with a table that begins anew, work in
-// quarantine ends three more endpoints after each loss of all processes.
+// Suspected work is saved for the same case: with an empty table, work that was
+// in quarantine would end three more endpoints after each loss of all processes.
 //
-// What is loaded is proof of nothing: the document was committed, but newer ones
-// may have been; endpoints may be gone. It is told to gateways, which hold no
-// newer document after a start, and is never an answer to a reader of the
-// configuration, who is owed the newest.
+// Loaded state proves nothing. The document was committed, but newer ones may have
+// been committed since; endpoints may be gone. It is sent to gateways, which hold
+// no newer document after a start, but is never returned to a reader of the
+// configuration, who must get the newest one.
 //
-// Guarantees: what is loaded was saved as a whole, or it is empty. A failed write
-// is logged and tried again until it succeeds, a newer one takes its place, or the
-// store ends (once more then). save() never waits for the disk: a thread of its own
-// writes, the newest state only.
+// Guarantees: loaded state was saved as a whole, or is empty. A failed write is
+// logged and retried until it succeeds, newer state replaces it, or the store is
+// destroyed, which tries once more. save() never waits for the disk: a background
+// thread writes, and only the newest state.
 
 #ifndef FIGRACK_FLEET_LASTKNOWN_H
 #define FIGRACK_FLEET_LASTKNOWN_H
@@ -47,19 +47,19 @@
 class LastKnownStore
 {
 public:
-    /// @param folder that exists by the first call @param disk outlives the store; used from its
-    /// thread too
+    /// @param folder must exist when the first other function is called
+    /// @param disk must outlive the store; also used from the store's thread
     LastKnownStore(std::string folder, coord::Disk &disk);
-    /// Waits until what was saved is written, or could not be.
+    /// Waits until all saved state is written or its last write has failed.
     ~LastKnownStore();
     LastKnownStore(const LastKnownStore &) = delete;
     auto operator=(const LastKnownStore &) -> LastKnownStore & = delete;
 
-    /// @return the document that was saved last; version 0 when none was, or it cannot be read
+    /// @return the last saved document; version 0 when there is none or it cannot be read
     auto loadDocument() -> Document;
-    /// @return the endpoints that were saved last; none when they cannot be read
+    /// @return the last saved endpoints; none when they cannot be read
     auto loadEndpoints() -> std::vector<catalogue::EndpointRow>;
-    /// @return the suspected work that was saved last; none when it cannot be read
+    /// @return the last saved suspected work; none when it cannot be read
     auto loadSuspects() -> std::vector<catalogue::SuspectRow>;
     auto save(const Document &document) -> void;
     auto save(const std::vector<catalogue::EndpointRow> &endpoints) -> void;
@@ -74,11 +74,11 @@
 
     const std::string folder_;
     coord::Disk &disk_;
-    std::mutex mutex_;                           ///< Guards the next two; a leaf in the lock order.
+    std::mutex mutex_;                           ///< Guards pending_ and stopping_; a leaf lock.
     std::map<std::string, std::string> pending_; ///< Bytes to write, by file name.
     bool stopping_ = false;
     std::condition_variable wake_;
-    std::thread writer_; ///< Last: it uses all of the above.
+    std::thread writer_; ///< Must be last: it uses all members above.
 };
 
 } // namespace figrack::fleet
--- a/fleet/loadguard.cpp
+++ b/fleet/loadguard.cpp
@@ -26,7 +26,7 @@
 {
     const auto at = clock_.now();
     const auto last = lastEnds_.find(model);
-    const auto isSameSeries = last != lastEnds_.end() && at - last->second < options_.series;
+    const auto isSameSeries = last != lastEnds_.end() && at - last->second < options_.seriesWindow;
     lastEnds_[model] = at;
     if (isSameSeries
         || !quarantine_.onEnd(worksOf(model), 0, endpoint, policy::millisOf(clock_.now())))
--- a/fleet/loadguard.h
+++ b/fleet/loadguard.h
@@ -1,15 +1,17 @@
-// Keeps a model away from endpoint after endpoint that end while they load it.
+// Stops loading a model that makes endpoint after endpoint end.
 //
-//   guard.onEnded(model, endpoint);    // the endpoint ended with the load in progress
+//   guard.onEnded(model, endpoint);    // the endpoint ended while it loaded the model
 //   guard.onLoaded(model);
-//   if (guard.isBarred(model)) ...     // it is not planned
+//   if (guard.isBarred(model)) ...     // do not plan a load
 //
-// A plan that fails is made again elsewhere: a model whose load ends what loads it would end one
-// endpoint after the other, as a request does that ends what runs it. The same table counts both,
-// so that the count outlives a change of leader.
+// A failed plan is repeated on another endpoint. A model whose load ends the
+// endpoint's process would therefore end one endpoint after the other, like a
+// request that ends the process that runs it. The same quarantine table counts
+// both, so that the count survives a change of leader.
 //
-// Many endpoints may load a busy model as they end for a reason of their own, and a model that is
-// barred serves nobody: ends within one series count once. Not thread-safe.
+// Many endpoints that load a busy model may end at once for another reason, and a
+// barred model is not served. So ends within one window count once. Not
+// thread-safe.
 
 #ifndef FIGRACK_FLEET_LOADGUARD_H
 #define FIGRACK_FLEET_LOADGUARD_H
@@ -25,20 +27,21 @@
 
 struct LoadGuardOptions
 {
-    /// Ends of one model's loads that are no further apart count once: the loss of a rack takes
-    /// less.
-    Duration series = std::chrono::seconds { 2 };
+    /// Ends during loads of one model that are no further apart than this count once. The loss of
+    /// a rack takes less time.
+    Duration seriesWindow = std::chrono::seconds { 2 };
 };
 
 class LoadGuard
 {
 public:
-    /// @param quarantine outlives this object @param onSuspects called when its table has changed
+    /// @param quarantine must outlive this object
+    /// @param onSuspects called when its table has changed
     LoadGuard(LoadGuardOptions options, policy::Quarantine &quarantine, const Clock &clock,
               std::function<void()> onSuspects);
     auto onEnded(const ModelId &model, const EndpointId &endpoint) -> void;
     auto onLoaded(const ModelId &model) -> void;
-    /// @return true while the model is not to be loaded anywhere
+    /// @return true while the model must not be loaded anywhere
     auto isBarred(const ModelId &model) const -> bool;
 
 private:
@@ -46,7 +49,7 @@
     policy::Quarantine &quarantine_;
     const Clock &clock_;
     std::function<void()> onSuspects_;
-    std::map<ModelId, Instant> lastEnds_; ///< Models of the configuration at most.
+    std::map<ModelId, Instant> lastEnds_; ///< At most one entry per configured model.
 };
 
 } // namespace figrack::fleet
--- a/fleet/metrics.cpp
+++ b/fleet/metrics.cpp
@@ -22,22 +22,22 @@
                           .Help("Announcements that name no endpoint to use")
                           .Register(registry)
                           .Add({}))
-        , spread(prometheus::BuildHistogram()
-                         .Name("figrack_core_change_spread_seconds")
-                         .Help("Commit of a change to its acknowledgement")
-                         .Register(registry)
-                         .Add({}, secondBuckets))
-        , lacking(prometheus::BuildCounter()
-                          .Name("figrack_core_change_lacking_total")
-                          .Help("Gateways that did not obey a change at its acknowledgement")
-                          .Register(registry)
-                          .Add({}))
+        , rolloutSeconds(prometheus::BuildHistogram()
+                                 .Name("figrack_core_change_spread_seconds")
+                                 .Help("Commit of a change to its acknowledgement")
+                                 .Register(registry)
+                                 .Add({}, secondBuckets))
+        , gatewaysBehind(prometheus::BuildCounter()
+                                 .Name("figrack_core_change_lacking_total")
+                                 .Help("Gateways that did not obey a change at its acknowledgement")
+                                 .Register(registry)
+                                 .Add({}))
     { }
 
     prometheus::Registry registry;
     prometheus::Counter &refused;
-    prometheus::Histogram &spread;
-    prometheus::Counter &lacking;
+    prometheus::Histogram &rolloutSeconds;
+    prometheus::Counter &gatewaysBehind;
 };
 
 Metrics::Metrics()
@@ -51,10 +51,10 @@
     impl_->refused.Increment();
 }
 
-auto Metrics::onAcknowledged(Duration waited, std::size_t lacking) -> void
+auto Metrics::onAcknowledged(Duration waited, std::size_t gatewaysBehind) -> void
 {
-    impl_->spread.Observe(std::chrono::duration<double> { waited }.count());
-    impl_->lacking.Increment(static_cast<double>(lacking));
+    impl_->rolloutSeconds.Observe(std::chrono::duration<double> { waited }.count());
+    impl_->gatewaysBehind.Increment(static_cast<double>(gatewaysBehind));
 }
 
 auto Metrics::text() -> std::string
--- a/fleet/metrics.h
+++ b/fleet/metrics.h
@@ -1,6 +1,6 @@
-// A control's metrics, as the Prometheus text page.
+// Metrics of a control, as a page in the Prometheus text format.
 //
-// Guarantee: labels are bounded.
+// Guarantee: the number of label values is bounded.
 
 #ifndef FIGRACK_FLEET_METRICS_H
 #define FIGRACK_FLEET_METRICS_H
@@ -18,11 +18,11 @@
 public:
     Metrics();
     ~Metrics();
-    /// What somebody said of an endpoint could not be used.
+    /// Call when a message about an endpoint could not be used.
     auto onAnnouncementRefused() -> void;
-    /// A change was acknowledged. @param waited since its commit @param lacking gateways that did
-    /// not obey it by then
-    auto onAcknowledged(Duration waited, std::size_t lacking) -> void;
+    /// Call when a change was acknowledged. @param waited time since its commit
+    /// @param gatewaysBehind number of gateways that had not applied it by then
+    auto onAcknowledged(Duration waited, std::size_t gatewaysBehind) -> void;
     /// @return the page
     auto text() -> std::string;
 
--- a/fleet/orders.cpp
+++ b/fleet/orders.cpp
@@ -20,21 +20,22 @@
 
 namespace {
 
-/// A load that was announced as complete neither in its own time nor in this much more is asked
-/// about: announcements of a completed order take some hundred milliseconds at most.
+/// If a load is not announced as complete within its expected time plus this, the endpoint is
+/// asked. Announcements of a completed order take at most a few hundred milliseconds.
 constexpr auto announceDelay = std::chrono::milliseconds { 600 };
 
-/// A step that takes so many times its time is given up: its endpoint may be dead to orders.
-constexpr auto longestStretch = 6;
-/// A load that takes so much longer than it should shares the store with too many.
+/// A step is given up after this multiple of its expected time: the endpoint may no longer handle
+/// orders.
+constexpr auto maxStretch = 6;
+/// A load that takes longer than this multiple of its time shares the store with too many others.
 constexpr auto slowStretch = 1.25;
-/// Loads from the store at once until their times are known.
+/// Concurrent loads from the store until the first load times are known.
 constexpr auto firstStoreLimit = 2U;
-/// What an unload before a load usually takes, with its announcement.
+/// Usual time of an unload before a load, including its announcement.
 constexpr auto swapTime = std::chrono::milliseconds { 300 };
-/// An unload that takes so long waits for streams, which may take seconds more.
+/// An unload that takes longer waits for streams, which may take several more seconds.
 constexpr auto unloadOverdue = std::chrono::seconds { 1 };
-/// A plan that has overrun its time may end at any moment.
+/// A plan that has exceeded its expected time may end at any moment.
 constexpr auto minBusySeconds = 0.2;
 
 using HeldModels = std::vector<catalogue::HeldModel>;
@@ -64,7 +65,7 @@
         held->adapters.push_back(step.adapter);
 }
 
-/// @return true when the engine has room for all of it
+/// @return true when the engine has room for all the models
 auto fits(const HeldModels &models, const catalogue::EngineSpec &engine) -> bool
 {
     auto weights = 0.0;
@@ -72,7 +73,7 @@
     for (const auto &held : models) {
         const auto *spec = engine.find(held.model);
         if (spec == nullptr)
-            return false; // Of a model that the configuration does not name the size is unknown.
+            return false; // The configuration does not name the model, so its size is unknown.
         weights += spec->weightsMb + spec->adapterMb * static_cast<double>(held.adapters.size());
         adapters += held.adapters.size();
     }
@@ -106,7 +107,7 @@
     auto onLeading() -> void
     {
         leadingSince_ = clock_.now();
-        accounts_.clear();
+        heldStates_.clear();
         adapterLoads_.clear();
         storeLoads_.clear();
     }
@@ -139,8 +140,8 @@
         const auto left = std::chrono::duration<double> { until - clock_.now() }.count();
         if (!job.active)
             return std::max(left, 0.0) * (1 + job.failures);
-        // One that has overrun its time by so much is expected to take as much again: its unload
-        // waits for requests in progress, and how long is not known.
+        // A plan that has exceeded its expected time by t is expected to take t longer: its unload
+        // waits for requests in progress, for an unknown time.
         return std::max({ left, -left, minBusySeconds }) * (1 + job.failures);
     }
 
@@ -156,8 +157,8 @@
 
     auto held(const EndpointId &endpoint) const -> const HeldModels *
     {
-        const auto found = accounts_.find(endpoint);
-        return found == accounts_.end() ? nullptr : &found->second.models;
+        const auto found = heldStates_.find(endpoint);
+        return found == heldStates_.end() ? nullptr : &found->second.models;
     }
 
     template<typename Visit>
@@ -185,7 +186,7 @@
     {
         const auto now = clock_.now();
         const auto windowSeconds = std::chrono::duration<double> { options_.storeWindow }.count();
-        // Loads of the leader before are not known.
+        // The loads that the previous leader started are not known.
         const auto isNew = now - leadingSince_ < options_.storeWindow;
         const auto limit = isNew ? options_.storeSlack : engine.storeLoadsPerSecond * windowSeconds;
         auto begun = std::count_if(storeLoads_.begin(), storeLoads_.end(),
@@ -208,8 +209,8 @@
     }
 
 private:
-    /// What an endpoint holds after so many orders.
-    struct Account
+    /// What an endpoint holds after it has accepted this number of orders.
+    struct HeldState
     {
         std::uint64_t count = 0;
         HeldModels models;
@@ -217,8 +218,8 @@
     struct Job
     {
         bool active = false;
-        std::size_t stepsDone = 0;  ///< Of the plan.
-        std::uint32_t failures = 0; ///< Plans in a row.
+        std::size_t stepsDone = 0;  ///< Completed steps of the plan.
+        std::uint32_t failures = 0; ///< Consecutive failed plans.
         Instant startedAt {};
         Plan plan;
         std::shared_ptr<const catalogue::EngineSpec> engine;
@@ -272,7 +273,7 @@
             const auto isReady = row != nullptr && row->state == catalogue::EndpointState::Ready;
             if (!isReady || !authority_.mayOrder())
                 co_return false;
-            if (!accounts_.contains(id) && !co_await learnAccount(id)) {
+            if (!heldStates_.contains(id) && !co_await readHeldState(id)) {
                 co_await pause(options_.retryPause);
                 continue;
             }
@@ -289,13 +290,13 @@
                 break;
             case OrderReply::Conflict:
             case OrderReply::NoAnswer:
-                accounts_.erase(id);
+                heldStates_.erase(id);
                 co_await pause(options_.retryPause);
                 break;
             case OrderReply::StaleFence:
             case OrderReply::Invalid:
             case OrderReply::OtherEndpoint:
-                accounts_.erase(id);
+                heldStates_.erase(id);
                 co_return false;
             }
         }
@@ -304,14 +305,15 @@
 
     auto send(const EndpointId &id, const PlanStep &step) -> asio::awaitable<OrderReply>
     {
-        // The endpoint may have been forgotten while its report was waited for.
+        // The endpoint may have been forgotten while the report was read.
         const auto *known = registry_.find(id);
         if (known == nullptr)
             co_return OrderReply::OtherEndpoint;
-        auto order = ModelOrder { step, accounts_[id].count, options_.self, authority_.fence() };
+        auto order = ModelOrder { step, heldStates_[id].count, options_.self, authority_.fence() };
         const auto row = *known;
         const auto reply = co_await port_.send(row, order);
-        if (reply == OrderReply::Accepted || (reply == OrderReply::Holds && wentAtOnce(id, step)))
+        if (reply == OrderReply::Accepted
+            || (reply == OrderReply::Holds && isImmediateUnload(id, step)))
             noteAccepted(id, step);
         LogEvent(LogLevel::Info, "order")
                 .with("endpoint", id)
@@ -324,12 +326,13 @@
         co_return reply;
     }
 
-    /// An adapter that no request uses is unloaded before the answer, and the order counts: taken
-    /// for one that had nothing to do, the next order is refused, and sent again after a report.
-    auto wentAtOnce(const EndpointId &id, const PlanStep &step) const -> bool
+    /// An endpoint unloads an adapter that no request uses before it answers, and counts the order
+    /// although the answer is Holds. If the runner did not count it too, the endpoint would refuse
+    /// the next order, which would be sent again after a report.
+    auto isImmediateUnload(const EndpointId &id, const PlanStep &step) const -> bool
     {
-        const auto found = accounts_.find(id);
-        if (step.kind != StepKind::Unload || step.adapter.empty() || found == accounts_.end())
+        const auto found = heldStates_.find(id);
+        if (step.kind != StepKind::Unload || step.adapter.empty() || found == heldStates_.end())
             return false;
         const auto &models = found->second.models;
         return std::any_of(models.begin(), models.end(), [&](const auto &held) {
@@ -337,11 +340,11 @@
         });
     }
 
-    /// A load takes its room from its acceptance on; an unload gives it back when complete.
+    /// A load uses its memory from its acceptance on; an unload frees it when it is complete.
     auto noteAccepted(const EndpointId &id, const PlanStep &step) -> void
     {
-        const auto found = accounts_.find(id);
-        if (found == accounts_.end())
+        const auto found = heldStates_.find(id);
+        if (found == heldStates_.end())
             return;
         ++found->second.count;
         if (step.kind == StepKind::Load)
@@ -352,7 +355,7 @@
     {
         if (step.kind == StepKind::Unload)
             return true;
-        auto models = accounts_[id].models;
+        auto models = heldStates_[id].models;
         applyStep(models, step);
         if (fits(models, *jobs_[id].engine))
             return true;
@@ -361,13 +364,13 @@
                 .with("model", step.model)
                 .with("adapter", step.adapter)
                 .with("held", static_cast<std::uint64_t>(models.size()))
-                .with("count", accounts_[id].count);
+                .with("count", heldStates_[id].count);
         return false;
     }
 
-    /// Reads how many orders the endpoint has accepted and what it holds.
+    /// Reads the endpoint's order count and the models it holds.
     /// @return false when it cannot take an order now
-    auto learnAccount(const EndpointId &id) -> asio::awaitable<bool>
+    auto readHeldState(const EndpointId &id) -> asio::awaitable<bool>
     {
         const auto *known = registry_.find(id);
         if (known == nullptr)
@@ -380,7 +383,7 @@
                     .with(report.status());
             co_return false;
         }
-        // The one that was meant is over, and news of its successor is on its way.
+        // The expected incarnation is superseded; its successor has not been announced here yet.
         if (report->incarnation != id.incarnation()) {
             LogEvent(LogLevel::Warning, "report_of_other_incarnation")
                     .with("endpoint", id)
@@ -394,7 +397,7 @@
         });
         if (report->busy)
             co_return false;
-        accounts_[id] = Account { report->count, report->models };
+        heldStates_[id] = HeldState { report->count, report->models };
         co_return true;
     }
 
@@ -408,11 +411,11 @@
             co_return true;
         }
         const auto isLoad = step.kind == StepKind::Load;
-        const auto expected = isLoad ? jobs_[id].loadTime : options_.unloadPatience;
+        const auto expected = isLoad ? jobs_[id].loadTime : options_.unloadTimeout;
         const auto begun = clock_.now();
-        auto patience = expected + announceDelay;
-        while (clock_.now() - begun < (expected + announceDelay) * longestStretch) {
-            if (co_await seesEffect(id, step, patience)) {
+        auto timeout = expected + announceDelay;
+        while (clock_.now() - begun < (expected + announceDelay) * maxStretch) {
+            if (co_await seesEffect(id, step, timeout)) {
                 if (isLoad) {
                     noteLoadTime(id, clock_.now() - begun);
                     authority_.onLoaded(step.model);
@@ -420,24 +423,24 @@
                 complete(id, step);
                 co_return true;
             }
-            accounts_.erase(id);
+            heldStates_.erase(id);
             if (!co_await isCarryingOut(id)) {
                 const auto isDone = hasEffect(id, step);
-                // Elsewhere the same load would end the next one.
+                // On another endpoint the same load would end that one, too.
                 if (isLoad && !isDone && co_await hasEnded(id))
-                    authority_.onEndedUnderLoad(step.model, id);
+                    authority_.onEndedDuringLoad(step.model, id);
                 co_return isDone;
             }
-            patience = std::max<Duration>(expected / 2, announceDelay);
+            timeout = std::max<Duration>(expected / 2, announceDelay);
         }
         co_return false;
     }
 
-    /// Waits until an announcement shows the step's effect. @return false when none did in time
-    auto seesEffect(const EndpointId &id, const PlanStep &step, Duration patience)
+    /// Waits until an announcement shows the step's effect. @return false on a timeout
+    auto seesEffect(const EndpointId &id, const PlanStep &step, Duration timeout)
             -> asio::awaitable<bool>
     {
-        const auto deadline = clock_.now() + patience;
+        const auto deadline = clock_.now() + timeout;
         while (clock_.now() < deadline) {
             if (hasEffect(id, step))
                 co_return true;
@@ -455,7 +458,7 @@
         return row != nullptr && showsEffect(*row, step);
     }
 
-    /// Asks the endpoint. @return true while an order is still under way there
+    /// Reads the endpoint's report. @return true while an order is still in progress there
     auto isCarryingOut(const EndpointId &id) -> asio::awaitable<bool>
     {
         const auto *row = registry_.find(id);
@@ -465,12 +468,12 @@
         const auto report = co_await port_.readReport(copy);
         if (report.ok() && report->busy && report->incarnation == id.incarnation())
             co_return true;
-        static_cast<void>(co_await learnAccount(id));
+        static_cast<void>(co_await readHeldState(id));
         co_return false;
     }
 
-    /// @return true when the endpoint's process is known to have ended unplanned: a newer
-    /// incarnation is in use, or nobody takes a connection at its address
+    /// @return true when the endpoint's process is known to have ended unexpectedly: a newer
+    /// incarnation is in use, or nothing accepts connections at its address
     auto hasEnded(EndpointId id) -> asio::awaitable<bool>
     {
         const auto *row = registry_.find(id);
@@ -484,8 +487,9 @@
         co_return !report.ok() && errorKind(report.status()) == ErrorKind::EndpointFailed;
     }
 
-    /// The store serves few loads at full speed, and how many is not told: loads that take their
-    /// time allow one more at once, longer ones fewer.
+    /// Adapts the limit of concurrent loads. The store serves only a few loads at full speed, and
+    /// their number is unknown: a load that takes its expected time raises the limit by one, a
+    /// slower one lowers it.
     auto noteLoadTime(const EndpointId &id, Duration taken) -> void
     {
         const auto &job = jobs_[id];
@@ -504,9 +508,9 @@
                 .with("before", std::int64_t { before });
     }
 
-    auto awaitRow(const EndpointId &id, Duration patience) -> asio::awaitable<void>
+    auto awaitRow(const EndpointId &id, Duration timeout) -> asio::awaitable<void>
     {
-        auto timer = BootTimer { context_, patience };
+        auto timer = BootTimer { context_, timeout };
         jobs_[id].timer = &timer;
         auto code = boost::system::error_code {};
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, code));
@@ -524,7 +528,7 @@
     {
         if (step.kind == StepKind::Load && !step.adapter.empty())
             adapterLoads_[{ step.model, step.adapter }] = clock_.now();
-        if (const auto found = accounts_.find(id); found != accounts_.end())
+        if (const auto found = heldStates_.find(id); found != heldStates_.end())
             applyStep(found->second.models, step);
         registry_.amend(id, [&](EndpointRow &row) { applyStep(row.models, step); });
     }
@@ -537,10 +541,10 @@
     Authority authority_;
     Instant leadingSince_;
     std::map<EndpointId, Job> jobs_;
-    std::map<EndpointId, Account> accounts_;     ///< Those that are known.
-    std::map<AdapterKey, Instant> adapterLoads_; ///< When they were last loaded.
-    std::deque<Instant> storeLoads_;             ///< Begun by this leader.
-    std::uint32_t storeLimit_ = firstStoreLimit; ///< Loads at once, as learned.
+    std::map<EndpointId, HeldState> heldStates_; ///< Of endpoints whose state is known.
+    std::map<AdapterKey, Instant> adapterLoads_; ///< Time of each adapter's last load.
+    std::deque<Instant> storeLoads_;             ///< Start times of this leader's loads.
+    std::uint32_t storeLimit_ = firstStoreLimit; ///< Learned limit of concurrent loads.
 };
 
 OrderRunner::OrderRunner(asio::io_context &context, OrderOptions options, const Clock &clock,
--- a/fleet/placement.cpp
+++ b/fleet/placement.cpp
@@ -1,10 +1,10 @@
-// Greedy, one wanted model after another: fleets are small, demand changes
-// within seconds, and a better assignment of today's loads is worth less than
-// the time in which an order leaves at once.
+// A greedy algorithm that places one model after another. Fleets are small and
+// demand changes within seconds, so a better assignment of the current loads is
+// worth less than sending the orders at once.
 //
-// Costs are in seconds. Evicting a model costs what its next requests wait for
-// it to come back, weighed by how soon they are expected, and the wait for its
-// requests in progress to end.
+// Costs are in seconds. The cost of evicting a model is the time its next requests
+// wait until it is loaded again, weighted by how soon they are expected, plus the
+// time until its requests in progress have ended.
 
 #include "fleet/placement.h"
 
@@ -20,44 +20,44 @@
 namespace figrack::fleet {
 namespace {
 
-/// Requests in progress per endpoint beyond which a model gets another replica. More replicas leave
-/// fewer places to the models that are asked for now and then, whose requests then need swaps.
-constexpr auto crowdedRequests = 10.0;
-/// Engines that run few requests at once are crowded sooner: at this part of their places.
-constexpr auto crowdedPart = 0.4;
-/// How long a request of a busy model is in progress, in seconds: what has begun to be asked for is
-/// not in progress yet.
-constexpr auto usualStay = 1.0;
-/// What another replica is worth to each request in progress at a crowded one, in seconds.
+/// Requests in progress per endpoint above which a model gets another replica. More replicas leave
+/// less room for models that are requested only occasionally, whose requests then need swaps.
+constexpr auto overloadRequests = 10.0;
+/// Engines with few places are overloaded earlier: at this fraction of their places.
+constexpr auto overloadShare = 0.4;
+/// Time, in seconds, that a request of a busy model is in progress. Used for models whose demand
+/// has just begun, since their requests are not in progress yet.
+constexpr auto typicalRequestSeconds = 1.0;
+/// Benefit of another replica to each request in progress at an overloaded one, in seconds.
 constexpr auto reliefSeconds = 0.25;
-/// What another replica is worth to each request that waits for an adapter, in seconds: where all
-/// places are in use it would wait for a stream of some seconds to end.
+/// Benefit of another replica to each request that waits for an adapter, in seconds: when all
+/// adapter places are in use, the request would wait for a stream of a few seconds to end.
 constexpr auto waitSeconds = 1.0;
-/// Over which missed requests are counted, in seconds.
+/// Window over which missed requests are counted, in seconds.
 constexpr auto missWindow = 3.0;
-/// Part of the arrivals that may be missed before a model gets another replica.
-constexpr auto manyMissed = 0.1;
-constexpr auto fewestMissed = 4U;
-/// Missed requests of the last seconds that are worth a second swap beside one that has stalled.
+/// Fraction of the arrivals that may be missed before a model gets another replica.
+constexpr auto missedShare = 0.1;
+constexpr auto minMissed = 4U;
+/// Recent missed requests that justify a second swap while the first one is stalled.
 constexpr auto urgentMissed = 10U;
-/// Added to the score of a victim whose requests run: an endpoint refuses all orders until those of
-/// an adapter that is unloaded have ended.
+/// Added to the cost of evicting an adapter with running requests: the endpoint refuses all orders
+/// until the requests of the adapter that it unloads have ended.
 constexpr auto inUsePenalty = 100.0;
-/// A model that is asked for by chance is expected about so often, per second.
+/// Expected rate, per second, of a model that is requested only by chance.
 constexpr auto rareRate = 0.05;
-/// Requests that wait for an unload last about so long.
+/// Approximate duration of the requests that an unload waits for, in seconds.
 constexpr auto runSeconds = 1.0;
-/// An unload waits for the requests in progress to end, and its endpoint takes no other order until
-/// then.
+/// Cost of an unload that waits for requests in progress: the endpoint takes no other order in the
+/// meantime.
 constexpr auto unloadSeconds = 2.0;
-/// What losing the only replica of a model costs at one request a second: a load from disk and
-/// the swap around it.
+/// Cost of losing the only replica of a model at one request a second: a load from disk and the
+/// swap that it requires.
 constexpr auto reloadSeconds = 1.2;
-/// A load from the store holds one of few places and is priced.
+/// Cost of a load from the store, which occupies one of a few concurrent loads.
 constexpr auto storePenalty = 2.0;
-/// What a request in progress weighs beside an adapter when a host for another adapter is sought.
-/// Most adapters are held once, so their requests have no choice: with hosts taken by their
-/// adapters alone more of their streams are late than of others.
+/// Weight of a request in progress relative to an adapter when an adapter is placed. Most adapters
+/// are held by one endpoint only, so their requests cannot go elsewhere. When endpoints were chosen
+/// by their number of adapters alone, streams with an adapter were late more often than others.
 constexpr auto adapterLoadWeight = 0.5;
 constexpr auto never = std::numeric_limits<double>::infinity();
 
@@ -66,20 +66,20 @@
     return std::find(models.begin(), models.end(), model) != models.end();
 }
 
-auto crowdedOf(const catalogue::EngineSpec &engine) -> double
+auto overloadLimitOf(const catalogue::EngineSpec &engine) -> double
 {
-    return engine.slots == 0 ? crowdedRequests
-                             : std::min(crowdedRequests, engine.slots * crowdedPart);
+    return engine.slots == 0 ? overloadRequests
+                             : std::min(overloadRequests, engine.slots * overloadShare);
 }
 
-/// Mutable account of one planning pass.
+/// The mutable state of one planning pass.
 class Planner
 {
 public:
     explicit Planner(const PlacementInput &input)
         : input_(input)
         , hosts_(input.hosts)
-        , crowded_(crowdedOf(input.engine))
+        , overloadLimit_(overloadLimitOf(input.engine))
         , storeLoads_(input.storeLoads)
     {
         for (const auto &model : input.engine.models)
@@ -96,7 +96,7 @@
     {
         for (const auto &[key, asked] : wantedAdapters())
             placeAdapter(key);
-        mostLacked_ = mostLacked();
+        maxUnserved_ = maxUnserved();
         for (const auto &model : wantedModels())
             placeModel(model);
         return { std::move(plans_), std::move(deferred_) };
@@ -111,14 +111,14 @@
         LoadSource source = LoadSource::Store;
     };
 
-    auto asked(const ModelId &model) const -> Asked
+    auto asked(const ModelId &model) const -> RequestDemand
     {
         const auto found = input_.models.find(model);
-        return found == input_.models.end() ? Asked {} : found->second;
+        return found == input_.models.end() ? RequestDemand {} : found->second;
     }
 
-    /// Models that lack a replica, most wanted first, then those with crowded replicas; one entry
-    /// a replica.
+    /// Models without a replica, the most wanted first, then those with overloaded replicas. A
+    /// model is listed once for each missing replica.
     auto wantedModels() const -> std::vector<ModelId>
     {
         auto wanted = std::vector<std::pair<double, ModelId>> {};
@@ -126,14 +126,15 @@
             if (specOf(model) == nullptr)
                 continue;
             const auto held = countOf(holders_, model);
-            const auto coming = comingOf(model, want);
-            if (held + coming == 0 && want.lacks() > 0)
-                wanted.emplace_back(want.lacks(), model);
-            const auto expected = std::max<double>(want.running, want.perSecond * usualStay);
+            const auto countedLoads = countedLoadsOf(model, want);
+            if (held + countedLoads == 0 && want.unserved() > 0)
+                wanted.emplace_back(want.unserved(), model);
+            const auto expected
+                    = std::max<double>(want.running, want.perSecond * typicalRequestSeconds);
             const auto enough
-                    = std::max({ std::ceil(expected / crowded_), replicasForAdapters(model),
+                    = std::max({ std::ceil(expected / overloadLimit_), replicasForAdapters(model),
                                  replicasForMissed(want, held) });
-            for (auto count = std::max(held + coming, 1U); count < enough; ++count)
+            for (auto count = std::max(held + countedLoads, 1U); count < enough; ++count)
                 wanted.emplace_back(want.missed() / static_cast<double>(count), model);
         }
         std::sort(wanted.begin(), wanted.end(),
@@ -144,24 +145,24 @@
         return result;
     }
 
-    /// @return replicas that are being loaded; of a model that many miss, without those that wait
-    /// for an unload: 145 requests were refused in the six seconds that one took
-    auto comingOf(const ModelId &model, const Asked &want) const -> std::uint32_t
+    /// @return the number of replicas being loaded. For a model that misses many requests, loads
+    /// that wait for an unload do not count: 145 requests were refused during an unload of 6 s
+    auto countedLoadsOf(const ModelId &model, const RequestDemand &want) const -> std::uint32_t
     {
         const auto loading = countOf(input_.loading, model);
         const auto stalled = countOf(input_.stalled, model);
         return want.missed() < urgentMissed ? loading : loading - std::min(loading, stalled);
     }
 
-    /// @return replicas of a model whose replicas serve too many of its requests late
-    auto replicasForMissed(const Asked &want, std::uint32_t held) const -> double
+    /// @return the number of replicas wanted for a model that serves too many requests late
+    auto replicasForMissed(const RequestDemand &want, std::uint32_t held) const -> double
     {
         const auto arrived = want.perSecond * missWindow;
-        return want.missed() > arrived * manyMissed && want.missed() >= fewestMissed ? held + 1.0
-                                                                                     : 0.0;
+        return want.missed() > arrived * missedShare && want.missed() >= minMissed ? held + 1.0
+                                                                                   : 0.0;
     }
 
-    /// @return replicas of a model that its adapters need which are asked for now
+    /// @return the number of replicas of a model needed for its adapters that are now in demand
     auto replicasForAdapters(const ModelId &model) const -> double
     {
         auto inUse = std::size_t { 0 };
@@ -172,7 +173,7 @@
         return std::ceil(static_cast<double>(inUse) / static_cast<double>(places));
     }
 
-    /// @return requests that wait for an adapter of the model
+    /// @return the number of requests that wait for an adapter of the model
     auto waitingForAdapters(const ModelId &model) const -> std::uint32_t
     {
         auto waiting = std::uint32_t { 0 };
@@ -189,12 +190,12 @@
         return found == counts.end() ? 0 : found->second;
     }
 
-    auto wantedAdapters() const -> std::map<AdapterKey, Asked>
+    auto wantedAdapters() const -> std::map<AdapterKey, RequestDemand>
     {
-        auto wanted = std::map<AdapterKey, Asked> {};
+        auto wanted = std::map<AdapterKey, RequestDemand> {};
         for (const auto &[key, want] : input_.adapters) {
-            // Where one holds it already, the requests that are told to wait have not heard yet.
-            if (want.lacks() > 0 && !key.second.empty() && !input_.loadingAdapters.contains(key)
+            // If an endpoint holds it already, the waiting requests just have not been told yet.
+            if (want.unserved() > 0 && !key.second.empty() && !input_.loadingAdapters.contains(key)
                 && !isHeldSomewhere(key))
                 wanted.emplace(key, want);
         }
@@ -217,13 +218,14 @@
         auto best = Candidate {};
         for (auto *host : copyHosts_[model])
             consider(*host, spec, isExtra, best);
-        // All hosts are looked at only where no copy is near: a plan for 112 endpoints and 375
-        // models, 60 of them lacking, took 8.6 ms of processor time without this and 2.2 with it.
+        // All hosts are considered only when no nearby copy is cheap enough: a plan for 112
+        // endpoints and 375 models, 60 of them unserved, took 8.6 ms of processor time without this
+        // check and 2.2 ms with it.
         if (mayUseStore(model, isExtra) && best.cost > leastStoreCost(spec, isExtra)) {
             for (auto &host : hosts_)
                 consider(host, spec, isExtra, best);
         }
-        // An endpoint that is busy and still the best is waited for.
+        // If a busy endpoint is still the best choice, the model waits for it.
         if (best.host == nullptr || !best.host->takesOrders()) {
             if (!isExtra)
                 defer(model, best.host);
@@ -236,15 +238,15 @@
         begin(best, model);
     }
 
-    /// The part of the store that is kept for models without a replica is not kept from one whose
-    /// replicas miss more requests each than any of those: models that are asked for once in
-    /// seconds would hold the store while half of the requests for a busy one are refused. One load
-    /// at a time: then it is the others' turn.
+    /// The store reserve for models without a replica is also open to a model whose replicas miss
+    /// more requests each than any of those has unserved. Otherwise models that are requested once
+    /// in several seconds would occupy the store while half of the requests for a busy model are
+    /// refused. Such a model gets one load at a time, so that the others get their turn.
     auto mayUseStore(const ModelId &model, bool isExtra) const -> bool
     {
         if (!isExtra || storeLoads_ > input_.storeReserve)
             return storeLoads_ > 0;
-        const auto isUrgent = missedPerReplica(model) > std::max(mostLacked_, urgentMissed)
+        const auto isUrgent = missedPerReplica(model) > std::max(maxUnserved_, urgentMissed)
                 && countOf(input_.loading, model) == 0;
         return isUrgent && storeLoads_ > 0;
     }
@@ -254,18 +256,18 @@
         return asked(model).missed() / std::max(countOf(holders_, model), 1U);
     }
 
-    /// @return requests that lack the most wanted of the models that no endpoint holds or loads
-    auto mostLacked() const -> std::uint32_t
+    /// @return the highest number of unserved requests of a model that is neither held nor loading
+    auto maxUnserved() const -> std::uint32_t
     {
         auto result = 0U;
         for (const auto &[model, want] : input_.models) {
             if (countOf(holders_, model) + countOf(input_.loading, model) == 0)
-                result = std::max(result, want.lacks());
+                result = std::max(result, want.unserved());
         }
         return result;
     }
 
-    /// @return what a load from the store costs at an endpoint that nobody else needs
+    /// @return the cost of a load from the store to an endpoint that no other model needs
     static auto leastStoreCost(const catalogue::ModelSpec &spec, bool isExtra) -> double
     {
         return (isExtra ? 0 : inSeconds(spec.loadFromStore)) + storePenalty;
@@ -300,7 +302,7 @@
     {
         auto deferral = Deferral {};
         deferral.model = model;
-        deferral.lacks = asked(model).lacks();
+        deferral.unserved = asked(model).unserved();
         if (busy != nullptr) {
             deferral.reason = DeferReason::Busy;
             deferral.endpoint = busy->id;
@@ -309,7 +311,7 @@
         deferred_.push_back(std::move(deferral));
     }
 
-    /// @param isExtra another replica of a model that some hold: nobody waits for this load
+    /// @param isExtra the load adds a replica to a model that has one, so no request waits for it
     auto weigh(Host &host, const catalogue::ModelSpec &spec, bool isExtra) -> Candidate
     {
         auto candidate = Candidate { &host, host.busySeconds, {}, LoadSource::Store };
@@ -325,7 +327,7 @@
         } else {
             const auto load = inSeconds(spec.loadFromStore);
             candidate.cost += leastStoreCost(spec, isExtra);
-            // Whoever wants one of its other copies meanwhile waits for half of the load.
+            // Requests for its other copies that arrive meanwhile wait for half of the load.
             candidate.cost += swapsPerSecond(host) * load * load / 2;
         }
         if (isExtra)
@@ -352,7 +354,7 @@
         return count > 0 && asked(model).running > count;
     }
 
-    /// @return room for weights that what is much asked for leaves free
+    /// @return the room for weights that models in high demand leave free
     auto swapRoomMb(const Host &host) const -> double
     {
         auto room = input_.engine.weightsMb;
@@ -361,8 +363,8 @@
         return room;
     }
 
-    /// What a lasting replica of a model on the host costs those that have copies of their weights
-    /// nowhere else and would not fit beside it.
+    /// Cost of a lasting replica on the host for the models that have no other copy of their
+    /// weights elsewhere and would not fit beside it.
     auto blockedCost(const Host &host, const catalogue::ModelSpec &spec) -> double
     {
         if (swapHosts_.empty())
@@ -381,8 +383,8 @@
         return cost;
     }
 
-    /// @return how often the host is expected to be asked for a model that it has a copy of and
-    /// that none holds; worked out once a plan, which changes it little
+    /// @return the expected rate of requests for models that the host has a copy of and that no
+    /// endpoint holds. Computed once per plan, since a plan changes it little
     auto swapsPerSecond(const Host &host) -> double
     {
         const auto found = swapRates_.find(&host);
@@ -399,8 +401,8 @@
         return result;
     }
 
-    /// Counts for each model the hosts that have a copy of it and room to load it. Once a plan:
-    /// looked up for each pair of hosts and models, it took a leader most of its processor time.
+    /// Counts for each model the hosts that have a copy of it and room to load it. Computed once
+    /// per plan: a lookup for each pair of host and model took most of a leader's processor time.
     auto countSwapHosts() -> void
     {
         for (const auto &host : hosts_) {
@@ -428,7 +430,7 @@
         return found == specs_.end() ? nullptr : found->second;
     }
 
-    /// @return what the host holds, with the cost of its loss; the cheapest last
+    /// @return the models that may be evicted from the host, with their costs; the cheapest is last
     auto evictable(const Host &host) const
             -> std::vector<std::pair<double, const catalogue::HeldModel *>>
     {
@@ -436,15 +438,16 @@
         for (const auto &held : host.models) {
             const auto want = asked(held.model);
             const auto count = std::max(countOf(holders_, held.model), 1U);
-            // Callers that were refused come back to it: a model that has just been loaded for them
-            // must not give way before any has.
-            const auto isOnly = count == 1 && (want.refused > 0 || want.running > crowded_ / 2);
+            // Refused callers will retry: a model that was just loaded for them must not be evicted
+            // before any of them has returned.
+            const auto isOnly
+                    = count == 1 && (want.refused > 0 || want.running > overloadLimit_ / 2);
             if (want.waiting > 0 || isOnly)
                 continue;
             const auto running = want.running / static_cast<double>(count);
             auto cost = running * runSeconds + std::min(running, 1.0) * unloadSeconds;
             cost += want.perSecond / count * reloadSeconds;
-            if (count > 1 && want.running > crowded_ * (count - 1) / 2)
+            if (count > 1 && want.running > overloadLimit_ * (count - 1) / 2)
                 cost += want.running;
             result.emplace_back(cost, &held);
         }
@@ -494,13 +497,13 @@
         plans_.push_back(std::move(plan));
     }
 
-    auto askedAdapter(const AdapterKey &key) const -> Asked
+    auto askedAdapter(const AdapterKey &key) const -> RequestDemand
     {
         const auto found = input_.adapters.find(key);
-        return found == input_.adapters.end() ? Asked {} : found->second;
+        return found == input_.adapters.end() ? RequestDemand {} : found->second;
     }
 
-    /// @return the adapter of the host that is asked for least, one with requests only if all have
+    /// @return the host's adapter with the least demand; one with requests only if all have some
     auto adapterVictim(const Host &host) const -> std::optional<AdapterKey>
     {
         auto best = std::optional<AdapterKey> {};
@@ -520,7 +523,7 @@
         return best;
     }
 
-    /// @return what displacing an adapter costs, to compare
+    /// @return the relative cost of evicting an adapter
     auto lossOf(const AdapterKey &key) const -> double
     {
         const auto want = askedAdapter(key);
@@ -544,7 +547,7 @@
     auto heldMb(const catalogue::HeldModel &held) const -> double
     {
         const auto *spec = specOf(held.model);
-        // A model that the configuration does not name any more: it may be of any size.
+        // The configuration no longer names this model, so its size is unknown.
         if (spec == nullptr)
             return 0;
         return spec->weightsMb + spec->adapterMb * static_cast<double>(held.adapters.size());
@@ -554,7 +557,7 @@
     {
         auto used = 0.0;
         for (const auto &held : host.models) {
-            // As above: then nothing more fits.
+            // A model of unknown size: assume that nothing more fits.
             if (specOf(held.model) == nullptr)
                 return input_.engine.weightsMb;
             used += heldMb(held);
@@ -567,12 +570,12 @@
     std::unordered_map<ModelId, const catalogue::ModelSpec *> specs_;
     std::map<ModelId, std::uint32_t> holders_;
     std::unordered_map<ModelId, std::vector<Host *>>
-            copyHosts_;                          ///< Hosts with a copy or a replica.
+            copyHosts_;                          ///< Hosts with a copy or a replica of the model.
     std::map<ModelId, std::uint32_t> swapHosts_; ///< See countSwapHosts().
     std::map<const Host *, double> swapRates_;   ///< See swapsPerSecond().
-    const double crowded_; ///< Requests in progress that are many for one endpoint.
+    const double overloadLimit_; ///< Requests in progress above which an endpoint is overloaded.
     std::uint32_t storeLoads_;
-    std::uint32_t mostLacked_ = 0; ///< See mostLacked().
+    std::uint32_t maxUnserved_ = 0; ///< See maxUnserved().
     std::vector<Plan> plans_;
     std::vector<Deferral> deferred_;
 };
--- a/fleet/placement.h
+++ b/fleet/placement.h
@@ -1,16 +1,17 @@
-// Which models and adapters are loaded and unloaded next, and where.
+// Decides which models and adapters are loaded and unloaded next, and where.
 //
 //   const auto plans = plan(input);
 //
-// A model that requests wait for goes where it loads fastest: to an endpoint
-// with a copy of its weights in memory or on disk, and there in the place of
-// what is needed least. Where that endpoint is busy with another order, the model
-// waits for it when that is sooner than a load elsewhere. A model with many
-// requests in progress gets another replica where that keeps the fewest others
-// from coming back. Pure: the input is a plain account of the fleet.
+// A model with waiting requests goes to the endpoint where it loads fastest: one
+// with a copy of its weights in memory or on disk, where it replaces the models
+// that are needed least. If that endpoint is busy with another order, the model
+// waits for it when this is sooner than a load elsewhere. A model with many
+// requests in progress gets another replica on the endpoint where this blocks
+// the fewest other models from being loaded again. The function is pure: its
+// input is a plain description of the fleet.
 //
-// Guarantees: no plan loads more than an endpoint has room for, counting what
-// is unloaded before; an endpoint gets one plan at a time; no more loads from
+// Guarantees: no plan loads more than an endpoint has room for after the unloads
+// that precede the load. An endpoint gets one plan at a time. No more loads from
 // the weight store are planned than the input allows.
 
 #ifndef FIGRACK_FLEET_PLACEMENT_H
@@ -29,33 +30,33 @@
 
 namespace figrack::fleet {
 
-/// An endpoint as placement sees it.
+/// An endpoint, as input of the placement.
 struct Host
 {
     EndpointId id;
     std::vector<catalogue::HeldModel> models;
     std::vector<ModelId> inMemory;
     std::vector<ModelId> onDisk;
-    /// Seconds until it takes an order, as expected; 0 when none is under way or in doubt.
+    /// Expected seconds until it can take an order; 0 when none is in progress or in doubt.
     double busySeconds = 0;
-    /// Requests in progress, over all gateways, as they told last.
+    /// Requests in progress, summed over the latest reports of all gateways.
     std::uint32_t running = 0;
     auto takesOrders() const -> bool { return busySeconds <= 0; }
 };
 
-/// How much a model or an adapter is asked for, over all gateways.
-struct Asked
+/// Demand for a model or an adapter, summed over all gateways.
+struct RequestDemand
 {
-    double perSecond = 0;      ///< Arrivals, averaged over some seconds.
+    double perSecond = 0;      ///< Arrivals, averaged over a few seconds.
     std::uint32_t waiting = 0; ///< Requests that wait for a load.
     std::uint32_t running = 0;
-    /// Requests that were refused of late for want of a load: their callers come back, and a model
-    /// whose requests are all refused would otherwise stay unloaded for ever.
+    /// Requests that were recently refused because the model was not loaded. Their callers retry;
+    /// a model whose requests are all refused would otherwise never be loaded.
     std::uint32_t refused = 0;
-    /// Requests that began or paused too late of late, where the model was held.
+    /// Recent requests that started late or had long pauses although the model was held.
     std::uint32_t late = 0;
-    auto lacks() const -> std::uint32_t { return waiting + refused; }
-    /// @return requests of late that its replicas could not serve in time
+    auto unserved() const -> std::uint32_t { return waiting + refused; }
+    /// @return recent requests that the model's replicas could not serve in time
     auto missed() const -> std::uint32_t { return refused + late; }
 };
 
@@ -65,17 +66,18 @@
 {
     const catalogue::EngineSpec &engine;
     std::vector<Host> hosts;
-    std::map<ModelId, Asked> models;
-    std::map<AdapterKey, Asked> adapters;
-    std::map<ModelId, std::uint32_t> loading; ///< Loads under way.
-    std::map<ModelId, std::uint32_t> stalled; ///< Of those, loads that wait for a slow unload.
+    std::map<ModelId, RequestDemand> models;
+    std::map<AdapterKey, RequestDemand> adapters;
+    std::map<ModelId, std::uint32_t> loading; ///< Loads in progress.
+    std::map<ModelId, std::uint32_t>
+            stalled; ///< The loads in progress that wait for a slow unload.
     std::set<AdapterKey> loadingAdapters;
-    /// Loaded so recently that no gateway can have told of the requests that use them.
+    /// Adapters loaded so recently that no gateway can have reported the requests that use them.
     std::set<AdapterKey> freshAdapters;
-    std::uint32_t storeLoads = 0; ///< That may begin now.
-    /// Of those, kept for models that requests lack: a load that nobody waits for would hold its
-    /// place in the store for the six seconds that it takes. Not kept from a model whose replicas
-    /// miss more requests each.
+    std::uint32_t storeLoads = 0; ///< Loads from the store that may start now.
+    /// The part of storeLoads that is reserved for models that requests wait for: a load without
+    /// waiting requests would occupy its place in the store for the six seconds that it takes. The
+    /// reserve is open to a model whose replicas miss more requests each.
     std::uint32_t storeReserve = 0;
 };
 
@@ -98,31 +100,31 @@
     auto operator==(const PlanStep &) const -> bool = default;
 };
 
-/// Steps for one endpoint, each begun when the one before is complete.
+/// Steps for one endpoint. Each one starts when the previous one is complete.
 struct Plan
 {
     EndpointId endpoint;
     std::vector<PlanStep> steps;
-    LoadSource source = LoadSource::Store; ///< Of the last step, a load.
+    LoadSource source = LoadSource::Store; ///< Of the last step, which is a load.
 };
 
-/// Why a model that requests lack is not loaded now.
+/// Why a model with unserved requests is not loaded now.
 enum class DeferReason : std::uint8_t {
-    Busy,   ///< The best endpoint is busy with another order, and is waited for.
-    NoRoom, ///< What each endpoint holds is needed more, or the store gives no more.
+    Busy,   ///< The best endpoint is busy with another order; the model waits for it.
+    NoRoom, ///< The models held at each endpoint are needed more, or the store allows no load.
 };
 
 /// @return "busy" or "no_room"
 auto deferReasonName(DeferReason reason) -> std::string_view;
 
-/// A model that requests lack and that is not loaded now.
+/// A model with unserved requests that is not loaded now.
 struct Deferral
 {
     ModelId model;
     DeferReason reason = DeferReason::NoRoom;
-    EndpointId endpoint; ///< That is waited for; empty: none.
-    double seconds = 0;  ///< Until it takes an order, as expected.
-    std::uint32_t lacks = 0;
+    EndpointId endpoint; ///< The endpoint that the model waits for; empty: none.
+    double seconds = 0;  ///< Expected time until that endpoint can take an order.
+    std::uint32_t unserved = 0;
 };
 
 struct Placement
--- a/fleet/proposals.h
+++ b/fleet/proposals.h
@@ -1,12 +1,12 @@
-// Commands on their way through the log, and who waits for each.
+// Pending log commands and the callbacks that wait for them.
 //
 //   proposals.add(index, term, deadline, done);
 //   proposals.onApplied(index, term);       // from the state machine
 //   proposals.settle(status, now);          // after each call into the replica
 //
 // Guarantee: each done is called exactly once, from settle() and never from
-// within the replica: OK when this very command was applied, OutcomeUnknown
-// when leadership or time ran out first. Not thread-safe.
+// within the replica. It gets OK when this very command was applied, and
+// OutcomeUnknown when the leadership or the time ran out first. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_PROPOSALS_H
 #define FIGRACK_FLEET_PROPOSALS_H
@@ -41,7 +41,7 @@
         Done done;
     };
     std::map<LogIndex, Waiting> waiting_;
-    std::vector<std::pair<LogIndex, Term>> applied_; ///< Since the last settle().
+    std::vector<std::pair<LogIndex, Term>> applied_; ///< Applied since the last settle().
 };
 
 } // namespace figrack::fleet
--- a/fleet/recentdocuments.cpp
+++ b/fleet/recentdocuments.cpp
@@ -5,9 +5,10 @@
 namespace figrack::fleet {
 namespace {
 
-/// Operators have so many changes in progress at once at most.
+/// Operators may have at most this many changes in progress at once.
 constexpr auto keptDocuments = std::size_t { 8 };
-/// Of one reply; a gateway asks for less. A longer frame would hold up what waits behind it.
+/// Maximum size of one reply; a gateway asks for less. A longer frame would delay the messages
+/// behind it.
 constexpr auto maxReplyBytes = std::size_t { 256 } << 10;
 
 } // namespace
--- a/fleet/recentdocuments.h
+++ b/fleet/recentdocuments.h
@@ -1,12 +1,13 @@
-// What a control gives gateways of the documents that it holds: manifests and blocks.
+// The most recent configuration documents of a control, served to gateways as manifests and blocks.
 //
-//   shelf.hold(document);                 // the newest one known to be committed
-//   peer->send(shelf.manifest());
-//   peer->send(shelf.blocks(request));
+//   recentDocuments.addDocument(document);          // the newest one known to be committed
+//   peer->send(recentDocuments.manifest());
+//   peer->send(recentDocuments.blocks(request));
 //
-// The blocks of the last few documents are kept, so that a gateway that works
-// through one manifest finds its blocks while newer documents come: with eight
-// changes in progress at once, eight. What they share is held once.
+// The blocks of the last few documents are kept, so that a gateway that fetches
+// the blocks of one manifest finds them while newer documents arrive. There may
+// be eight changes in progress at once, so eight documents are kept. Blocks that
+// several documents share are stored once.
 //
 // Not thread-safe.
 
@@ -28,23 +29,24 @@
 class RecentDocuments
 {
 public:
-    /// Does nothing with the version that is held. @param document the newest one
+    /// Does nothing when the newest held document has the same version.
+    /// @param document the newest document
     auto addDocument(const Document &document) -> void;
-    /// @return of the newest document; version 0 without one
+    /// @return the manifest of the newest document; version 0 when there is none
     auto manifest() const -> proto::ManifestReply;
-    /// @return those asked for that are held, as many as fit one reply
+    /// @return the requested blocks that are held, as many as fit into one reply
     auto blocks(const proto::BlocksRequest &request) const -> proto::BlocksReply;
 
 private:
     struct Block
     {
         std::string bytes;
-        std::uint32_t uses = 0; ///< By manifests that are kept.
+        std::uint32_t uses = 0; ///< Number of kept manifests that refer to the block.
     };
 
     auto dropOldest() -> void;
 
-    std::deque<proto::ManifestReply> manifests_; ///< The newest last.
+    std::deque<proto::ManifestReply> manifests_; ///< The newest is last.
     std::map<catalogue::BlockId, Block> blocks_;
 };
 
--- a/fleet/registry.cpp
+++ b/fleet/registry.cpp
@@ -34,7 +34,8 @@
         return;
     auto update = baseUpdate();
     update.controls = group_.controls;
-    // Of two that were known at one address, the one told last counts: the one heard last.
+    // If two endpoints were known at one address, the receiver keeps the later one in the update,
+    // so the one heard last must come last.
     auto sorted = std::vector<const Known *> {};
     for (const auto &[id, known] : known_)
         sorted.push_back(&known);
@@ -59,7 +60,7 @@
         if (waits != leaving.unconfirmed.end() && waits->second <= ack.number)
             leaving.unconfirmed.erase(waits);
     }
-    settleLeaving();
+    completeLeaving();
 }
 
 auto Registry::onClose(const proto::PeerPointer &peer) -> std::optional<proto::SubscriberKind>
@@ -70,7 +71,7 @@
     const auto kind = found->second.subscribe.kind;
     LogEvent(LogLevel::Warning, "subscriber_lost").with("peer", peer->peer());
     subscribers_.erase(found);
-    // It gets the whole list before it may send again; until then this control cannot tell.
+    // The gateway gets the whole list before it may send again, but this control cannot tell when.
     for (auto &leaving : leaving_) {
         if (leaving.unconfirmed.contains(peer.get()))
             leaving.deadline = clock_.now();
@@ -80,12 +81,12 @@
 
 auto Registry::onUpdate(const proto::ServingUpdate &update) -> void
 {
-    // The end of an incarnation first: another one may have taken its place.
+    // Rows of ended incarnations come first, because another one may have replaced them.
     for (const auto isGone : { true, false }) {
         for (const auto &row : update.endpoints) {
-            if ((row.state == EndpointState::Gone) == isGone && take(row)
-                && passesOn(std::hash<EndpointId> {}(row.id)))
-                relayed_.insert(row.id);
+            if ((row.state == EndpointState::Gone) == isGone && merge(row)
+                && shouldRelay(std::hash<EndpointId> {}(row.id)))
+                unrelayed_.insert(row.id);
         }
     }
     const auto now = clock_.now();
@@ -96,8 +97,9 @@
     }
 }
 
-/// The controls with the highest weights for the key do, so that they need not talk of it.
-auto Registry::passesOn(std::uint64_t key) const -> bool
+/// Selects the controls with the highest rendezvous weights for the key, so no negotiation is
+/// needed.
+auto Registry::shouldRelay(std::uint64_t key) const -> bool
 {
     const auto own = rendezvousWeight(key, options_.self.value());
     const auto higher = std::count_if(
@@ -110,7 +112,7 @@
 
 auto Registry::recall(std::vector<EndpointRow> endpoints) -> void
 {
-    // As silent as one that will be taken for lost after recallFor.
+    // Set the time so that the endpoint is considered lost after recallFor.
     const auto heardAt = clock_.now() - options_.forgetSilentAfter + options_.recallFor;
     for (auto &row : endpoints) {
         if (row.state == EndpointState::Gone)
@@ -130,25 +132,25 @@
                 .with("sequence", row.sequence);
         return;
     }
-    const auto changed = take(row);
+    const auto changed = merge(row);
     auto &known = known_[row.id];
     known.heardAt = clock_.now();
     known.beaten = true;
     if (changed)
-        fresh_.insert(row.id);
+        unpublished_.insert(row.id);
 }
 
 auto Registry::onLeaving(const EndpointRow &row, Done done) -> void
 {
     onAnnouncement(row);
-    if (!known_.contains(row.id) || isOver(row.id)) {
-        done(absl::OkStatus()); // No gateway sends there: it is another incarnation's place.
+    if (!known_.contains(row.id) || isSuperseded(row.id)) {
+        done(absl::OkStatus()); // No gateway sends work there: another incarnation is in use.
         return;
     }
-    relayed_.erase(row.id);
-    fresh_.insert(row.id);
-    tell(fresh_, true);
-    auto leaving = Leaving { row.id, {}, clock_.now() + options_.confirmWithin, std::move(done) };
+    unrelayed_.erase(row.id);
+    unpublished_.insert(row.id);
+    publish(unpublished_, true);
+    auto leaving = Leaving { row.id, {}, clock_.now() + options_.confirmTimeout, std::move(done) };
     for (const auto &[key, subscriber] : subscribers_) {
         const auto isGateway = subscriber.subscribe.kind == proto::SubscriberKind::Gateway;
         if (isGateway && subscriber.acked < subscriber.asked)
@@ -156,9 +158,9 @@
     }
     const auto settled = clock_.now() >= startedAt_ + options_.settleAfterStart;
     if (gatewayCount() == 0 || !settled)
-        leaving.deadline = Instant {}; // Nobody here who could confirm it.
+        leaving.deadline = Instant {}; // No gateway can confirm it, so it fails at once.
     leaving_.push_back(std::move(leaving));
-    settleLeaving();
+    completeLeaving();
 }
 
 auto Registry::amend(const EndpointId &id, const std::function<void(EndpointRow &)> &change) -> void
@@ -169,8 +171,8 @@
     auto row = found->second.row;
     change(row);
     ++row.orderVersion;
-    if (take(row))
-        fresh_.insert(id);
+    if (merge(row))
+        unpublished_.insert(id);
 }
 
 auto Registry::setGroup(const GroupView &group) -> void
@@ -187,7 +189,7 @@
     sendToAll(std::move(update));
 }
 
-auto Registry::tellLoads(const std::vector<proto::EndpointLoad> &loads) -> void
+auto Registry::publishLoads(const std::vector<proto::EndpointLoad> &loads) -> void
 {
     if (loads.empty())
         return;
@@ -209,16 +211,16 @@
 auto Registry::tick() -> void
 {
     const auto now = clock_.now();
-    if (now >= nextNews_) {
-        nextNews_ = now + subscribers_.size() * options_.newsShare;
-        tell(fresh_, false);
+    if (now >= nextUpdate_) {
+        nextUpdate_ = now + subscribers_.size() * options_.updateSpacing;
+        publish(unpublished_, false);
     }
     if (now >= nextRelay_) {
-        const auto share = subscribers_.size() * options_.relayShare;
+        const auto share = subscribers_.size() * options_.relaySpacing;
         nextRelay_ = now + std::max<Duration>(options_.relayEvery, share);
-        tell(relayed_, false);
+        publish(unrelayed_, false);
     }
-    settleLeaving();
+    completeLeaving();
     if (now < nextBeat_)
         return;
     nextBeat_ = now + options_.beatEvery;
@@ -268,7 +270,7 @@
     onChanged_ = std::move(listener);
 }
 
-/// @return when a newer incarnation of the endpoint was last heard of; nullopt: none is known
+/// @return when a newer incarnation of the endpoint was last heard from; nullopt: none is known
 auto Registry::newerHeardAt(const EndpointId &id) const -> std::optional<Instant>
 {
     auto result = std::optional<Instant> {};
@@ -279,58 +281,59 @@
     return result;
 }
 
-/// @return true for the word of an incarnation that is over
+/// @return true when the row comes from a superseded incarnation
 auto Registry::isIgnored(const EndpointRow &row) -> bool
 {
     if (known_.contains(row.id))
         return false;
-    return row.state == EndpointState::Ready ? !mayBegin(row.id) : newerHeardAt(row.id).has_value();
+    return row.state == EndpointState::Ready ? !acceptsIncarnation(row.id)
+                                             : newerHeardAt(row.id).has_value();
 }
 
-/// @return true when the incarnation, of which nothing was known, is not over by what is known
-auto Registry::mayBegin(const EndpointId &id) -> bool
+/// @return true when this yet unknown incarnation is not superseded by a known one
+auto Registry::acceptsIncarnation(const EndpointId &id) -> bool
 {
     const auto newer = newerHeardAt(id);
     if (!newer)
         return true;
     const auto now = clock_.now();
-    auto &since = challengers_.try_emplace(id, now).first->second;
+    auto &since = olderIncarnations_.try_emplace(id, now).first->second;
     if (*newer >= since)
         since = now;
-    if (now - since < options_.incarnationProof)
+    if (now - since < options_.olderIncarnationAfter)
         return false;
     LogEvent(LogLevel::Warning, "incarnation_falls").with("endpoint", id);
-    challengers_.erase(id);
-    endOthers(id);
+    olderIncarnations_.erase(id);
+    supersedeOthers(id);
     return true;
 }
 
 /// @return true when a newer incarnation of the endpoint is in use
-auto Registry::isOver(const EndpointId &id) const -> bool
+auto Registry::isSuperseded(const EndpointId &id) const -> bool
 {
     const auto rowOf = [](const Known &known) -> const EndpointRow & { return known.row; };
     return catalogue::newerIncarnation(known_, id, rowOf) != nullptr;
 }
 
-/// The incarnation is in use: the others of the endpoint are over.
-auto Registry::endOthers(const EndpointId &id) -> void
+/// Marks all other incarnations of the endpoint as gone, since this one is in use.
+auto Registry::supersedeOthers(const EndpointId &id) -> void
 {
     catalogue::forEachIncarnation(known_, id, [&](auto &item) {
         auto &row = item.second.row;
         if (item.first == id || row.state == EndpointState::Gone)
             return;
         row.state = EndpointState::Gone;
-        fresh_.insert(item.first);
+        unpublished_.insert(item.first);
         LogEvent(LogLevel::Info, "incarnation_over").with("endpoint", item.first).with("by", id);
         if (onChanged_)
             onChanged_(row);
     });
 }
 
-/// @return true when the row says something new
-auto Registry::take(const EndpointRow &row) -> bool
+/// @return true when the row changed the known state
+auto Registry::merge(const EndpointRow &row) -> bool
 {
-    if (!known_.contains(row.id) && isOver(row.id))
+    if (!known_.contains(row.id) && isSuperseded(row.id))
         return false;
     auto [item, isNew] = known_.try_emplace(row.id);
     auto &known = item->second;
@@ -352,14 +355,14 @@
             .with("sequence", row.sequence)
             .with("models", static_cast<std::uint64_t>(row.models.size()));
     if (isNew && row.state != EndpointState::Gone)
-        endOthers(row.id);
+        supersedeOthers(row.id);
     if (onChanged_)
         onChanged_(known.row);
     return true;
 }
 
-/// Tells all subscribers the rows, and forgets that they were to be told.
-auto Registry::tell(std::set<EndpointId> &ids, bool wantsAck) -> void
+/// Sends the rows to all subscribers and clears the set.
+auto Registry::publish(std::set<EndpointId> &ids, bool wantsAck) -> void
 {
     auto rows = std::vector<EndpointRow> {};
     for (const auto &id : std::exchange(ids, {})) {
@@ -419,7 +422,7 @@
 auto Registry::forgetOld() -> void
 {
     const auto now = clock_.now();
-    std::erase_if(challengers_, [&](const auto &item) {
+    std::erase_if(olderIncarnations_, [&](const auto &item) {
         return now - item.second >= options_.forgetSilentAfter;
     });
     std::erase_if(known_, [&](const auto &item) {
@@ -429,7 +432,7 @@
     });
 }
 
-auto Registry::settleLeaving() -> void
+auto Registry::completeLeaving() -> void
 {
     const auto now = clock_.now();
     auto ended = std::vector<std::pair<Leaving, absl::Status>> {};
--- a/fleet/registry.h
+++ b/fleet/registry.h
@@ -1,24 +1,28 @@
-// The endpoints that have announced themselves, and who is told of them.
+// The endpoints that have announced themselves, and the peers that are told about them.
 //
 //   registry.onSubscribe(peer, subscribe);           // gateways and other controls
-//   registry.hear(row);                              // an announcement
-//   registry.onLeaving(id, done);                  // done(OK): no gateway sends there any more
+//   registry.onAnnouncement(row);
+//   registry.onLeaving(row, done);                   // OK: no gateway sends work there any more
 //   registry.tick();
 //
-// News of an endpoint that leaves goes to every subscriber at once, other news
-// with the next tick, or some ticks later where there are many subscribers. What other controls
-// told goes on, from some of them, every relayEvery only, in
-// one message: gateways hear of it from those controls too, and only one that is
-// cut off from them needs it from here. All that was heard is told every beatEvery. An endpoint's
-// leaving is acknowledged only after each subscribed gateway has said that it acts on it: a gateway
-// that is not subscribed learns of it before it sends anything, by the whole list that it gets when
-// it subscribes.
+// The news that an endpoint is leaving goes to every subscriber at once. Other
+// updates go out with the next tick, or a few ticks later when there are many
+// subscribers. Updates from other controls are relayed only by some of the
+// controls, in one message every relayEvery: gateways also get them from the
+// control that heard them, and only a gateway that is cut off from that control
+// needs the relay. Every beatEvery, the registry tells all subscribers which
+// endpoints it has heard from.
 //
-// An endpoint may start again under its name; each incarnation has an id of its own. The newest
-// that was heard of is in use and ends the others; what an older one said and arrives later changes
-// nothing, whether it says ready, draining or gone.
+// The leaving of an endpoint is acknowledged only when each subscribed gateway
+// has confirmed that it acts on it. A gateway that is not subscribed learns of it
+// before it sends any request, because it gets the whole list when it subscribes.
 //
-// Soft state: a control that restarts learns all endpoints anew from their
+// An endpoint may restart under the same name; each incarnation has its own ID.
+// The newest known incarnation is in use and supersedes the others. Messages of a
+// superseded incarnation that arrive later change nothing, whatever state they
+// report.
+//
+// Soft state: a control that restarts learns all endpoints again from their
 // announcements and from the other controls. Not thread-safe.
 
 #ifndef FIGRACK_FLEET_REGISTRY_H
@@ -44,45 +48,48 @@
 struct RegistryOptions
 {
     NodeId self; ///< This control's name in the group.
-    /// So many controls pass on what others told of an endpoint: one more than may be lost at once,
-    /// so that a gateway that is cut off from the one that heard it still hears. With all nine,
-    /// eight of nine copies of each row that a gateway got were such relays.
+    /// Number of controls that relay what others reported about an endpoint: one more than may be
+    /// lost at once, so that a gateway that is cut off from the control that heard it still gets
+    /// the update. When all nine relayed, eight of nine copies of each row that a gateway got were
+    /// relays.
     std::size_t relays = 3;
-    /// How often the age of announcements is told; somewhat finer than endpoints announce.
+    /// Interval at which the age of announcements is sent; slightly shorter than the interval at
+    /// which endpoints announce themselves.
     Duration beatEvery = std::chrono::milliseconds { 1000 };
-    /// Relays are told in batches: one message a row and subscriber takes most of a control's time.
+    /// Relays are batched, since one message per row and subscriber takes most of a control's time.
     Duration relayEvery = std::chrono::milliseconds { 250 };
-    /// At least so long for each subscriber between two relays, and between two batches of news: a
-    /// control sends some thousand messages a second at most, however many gateways there are. It
-    /// takes effect from some 70 subscribers on for relays, from 100 on for news.
-    Duration relayShare = std::chrono::microseconds { 3500 };
-    Duration newsShare = std::chrono::microseconds { 200 };
-    /// Gateways must confirm an endpoint's leaving within it; below the second after which the
-    /// endpoint asks another control.
-    Duration confirmWithin = std::chrono::milliseconds { 700 };
-    /// A control that has just started does not yet know all gateways.
+    /// Minimum time per subscriber between two relays, and between two batches of updates. It
+    /// limits a control to a few thousand messages a second, however many gateways there are. It
+    /// takes effect from about 70 subscribers on for relays, and from about 100 on for updates.
+    Duration relaySpacing = std::chrono::microseconds { 3500 };
+    Duration updateSpacing = std::chrono::microseconds { 200 };
+    /// Time in which gateways must confirm that an endpoint leaves; shorter than the second after
+    /// which the endpoint asks another control.
+    Duration confirmTimeout = std::chrono::milliseconds { 700 };
+    /// After a start, time until the control is assumed to know all gateways.
     Duration settleAfterStart = std::chrono::milliseconds { 1500 };
     Duration forgetGoneAfter = std::chrono::seconds { 60 };
-    /// An endpoint of which nobody heard for so long is taken for lost.
+    /// An endpoint that nobody has heard from for this time is considered lost.
     Duration forgetSilentAfter = std::chrono::seconds { 30 };
-    /// One that was known before a restart and has not announced itself since: three intervals at
-    /// which endpoints announce themselves.
+    /// The same, for an endpoint that was known before a restart and has not announced itself
+    /// since: three announcement intervals.
     Duration recallFor = std::chrono::seconds { 4 };
-    /// An incarnation that calls itself older than one that is known is taken for one whose VM's
-    /// clock was set back, which must not be shut out, when it goes on announcing itself for so
-    /// long while the other is silent. What a cut has held back arrives at once, so that a dead one
-    /// does not pass for it; an endpoint that was set back is away for three announcements.
-    Duration incarnationProof = std::chrono::seconds { 4 };
+    /// An incarnation that is older than a known one is normally ignored. It is accepted when it
+    /// keeps announcing itself for this time while the newer one is silent: then the clock of its
+    /// VM was probably set back. After a network partition, delayed announcements arrive all at
+    /// once, so a dead incarnation is not accepted by mistake. An endpoint whose clock was set
+    /// back is missing for three announcements.
+    Duration olderIncarnationAfter = std::chrono::seconds { 4 };
 };
 
-/// A gateway to which callers may be sent.
+/// A gateway that callers may be directed to.
 struct GatewayInfo
 {
     Address callers;
     DomainId domain;
 };
 
-/// What the registry tells beside the endpoints.
+/// What the registry sends to subscribers in addition to the endpoints.
 struct GroupView
 {
     Revision document;
@@ -99,41 +106,42 @@
 
     auto onSubscribe(const proto::PeerPointer &peer, const proto::Subscribe &subscribe) -> void;
     auto onAck(const proto::PeerPointer &peer, const proto::ServingAck &ack) -> void;
-    /// @return what the connection's peer had subscribed as; nullopt: it had not
+    /// @return the kind of subscriber that the connection's peer was; nullopt: not subscribed
     auto onClose(const proto::PeerPointer &peer) -> std::optional<proto::SubscriberKind>;
-    /// What another control tells; passed on to this control's subscribers that lack it.
+    /// Handles an update of another control, and relays it to this control's subscribers.
     auto onUpdate(const proto::ServingUpdate &update) -> void;
 
-    /// Endpoints that were known before a restart, until they announce themselves or recallFor has
-    /// passed. Call before anything else.
+    /// Restores the endpoints that were known before a restart. They are kept until they announce
+    /// themselves or recallFor has passed. Call it before any other function.
     auto recall(std::vector<catalogue::EndpointRow> endpoints) -> void;
-    /// An announcement. A draining one is also told by onLeaving().
+    /// Handles an announcement. For one that reports draining, also call onLeaving().
     auto onAnnouncement(const catalogue::EndpointRow &row) -> void;
-    /// @param row the announcement that says so, or what is known with the state changed
+    /// @param row the announcement that reports the leaving, or the known row with the state
+    /// changed
     /// @param done called once: OK when no gateway sends new work there any more, else NoQuorum
     auto onLeaving(const catalogue::EndpointRow &row, Done done) -> void;
-    /// Changes what is known of an endpoint after an order, until its next announcement.
+    /// Changes the known row of an endpoint after an order, until its next announcement.
     auto amend(const EndpointId &id, const std::function<void(catalogue::EndpointRow &)> &change)
             -> void;
-    /// Tells all subscribers when document, leader or controls have changed.
+    /// Notifies all subscribers when the document, the leader or the controls have changed.
     auto setGroup(const GroupView &group) -> void;
-    /// On the leader: tells all gateways how much is in progress at each endpoint.
-    auto tellLoads(const std::vector<proto::EndpointLoad> &loads) -> void;
+    /// On the leader: tells all gateways the number of requests in progress at each endpoint.
+    auto publishLoads(const std::vector<proto::EndpointLoad> &loads) -> void;
     /// Sends a message to every subscriber of a kind.
     auto push(proto::SubscriberKind kind, proto::Payload payload) -> void;
-    /// @return whether this control passes on what others told of what the key names
-    auto passesOn(std::uint64_t key) const -> bool;
+    /// @return true when this control relays what others reported about the entity with this key
+    auto shouldRelay(std::uint64_t key) const -> bool;
     auto tick() -> void;
 
     auto find(const EndpointId &id) const -> const catalogue::EndpointRow *;
     /// @return the newest incarnation of the endpoint that is in use, or nullptr
     auto inUse(const EndpointId &id) const -> const catalogue::EndpointRow *;
     auto rows() const -> std::vector<const catalogue::EndpointRow *>;
-    /// @return gateways that are subscribed, ready or not
+    /// @return the number of subscribed gateways, ready or not
     auto gatewayCount() const -> std::uint32_t;
-    /// @return gateways that are ready
+    /// @return the gateways that are ready
     auto gateways() const -> std::vector<GatewayInfo>;
-    /// Called when a row has changed.
+    /// Sets the function that is called when a row has changed.
     auto setOnChanged(std::function<void(const catalogue::EndpointRow &)> listener) -> void;
 
 private:
@@ -141,13 +149,13 @@
     {
         catalogue::EndpointRow row;
         Instant heardAt {};
-        bool beaten = false; ///< Heard here since the last beat.
+        bool beaten = false; ///< An announcement arrived here since the last sendBeats().
     };
     struct Subscriber
     {
         proto::PeerPointer peer;
         proto::Subscribe subscribe;
-        std::uint64_t asked = 0; ///< Number of the latest update that wants an acknowledgement.
+        std::uint64_t asked = 0; ///< Number of the latest update that requires an acknowledgement.
         std::uint64_t acked = 0;
     };
     struct Leaving
@@ -160,33 +168,33 @@
 
     auto newerHeardAt(const EndpointId &id) const -> std::optional<Instant>;
     auto isIgnored(const catalogue::EndpointRow &row) -> bool;
-    auto mayBegin(const EndpointId &id) -> bool;
-    auto isOver(const EndpointId &id) const -> bool;
-    auto take(const catalogue::EndpointRow &row) -> bool;
-    auto endOthers(const EndpointId &id) -> void;
-    auto tell(std::set<EndpointId> &ids, bool wantsAck) -> void;
-    /// Numbers the update and sends it to every subscriber, encoded once.
+    auto acceptsIncarnation(const EndpointId &id) -> bool;
+    auto isSuperseded(const EndpointId &id) const -> bool;
+    auto merge(const catalogue::EndpointRow &row) -> bool;
+    auto supersedeOthers(const EndpointId &id) -> void;
+    auto publish(std::set<EndpointId> &ids, bool wantsAck) -> void;
+    /// Numbers the update, encodes it once and sends it to every subscriber.
     auto sendToAll(proto::ServingUpdate update) -> void;
     static auto send(const Subscriber &subscriber, const proto::SharedPush &push) -> void;
     auto baseUpdate() const -> proto::ServingUpdate;
     auto sendBeats() -> void;
     auto forgetOld() -> void;
-    auto settleLeaving() -> void;
+    auto completeLeaving() -> void;
 
     RegistryOptions options_;
     const Clock &clock_;
     Instant startedAt_;
     Instant nextBeat_ {};
-    std::uint64_t lastNumber_ = 0; ///< Of the latest update, over all subscribers.
+    std::uint64_t lastNumber_ = 0; ///< Number of the latest update, over all subscribers.
     GroupView group_;
     std::map<EndpointId, Known> known_;
     std::map<const proto::PeerConnection *, Subscriber> subscribers_;
-    /// Incarnations older than one that is known, and since when they announce themselves while
-    /// that is silent.
-    std::map<EndpointId, Instant> challengers_;
-    std::set<EndpointId> fresh_;   ///< Rows to tell with the next tick.
-    std::set<EndpointId> relayed_; ///< Rows to tell with the next relay.
-    Instant nextNews_ {};
+    /// Incarnations older than a known one, with the time since when they have been announcing
+    /// themselves while the newer one is silent.
+    std::map<EndpointId, Instant> olderIncarnations_;
+    std::set<EndpointId> unpublished_; ///< Rows to send with the next tick.
+    std::set<EndpointId> unrelayed_;   ///< Rows to send with the next relay.
+    Instant nextUpdate_ {};
     Instant nextRelay_ {};
     std::vector<Leaving> leaving_;
     std::function<void(const catalogue::EndpointRow &)> onChanged_;
