--- a/fleet/documentshelf.cpp
+++ b/fleet/recentdocuments.cpp
@@ -1,18 +1,19 @@
-#include "fleet/documentshelf.h"
+#include "fleet/recentdocuments.h"
 
 #include <utility>
 
 namespace figrack::fleet {
 namespace {
 
-/// Operators have so many changes in progress at once at most.
+/// Operators may have at most this many changes in progress at once.
 constexpr auto keptDocuments = std::size_t { 8 };
-/// Of one reply; a gateway asks for less. A longer frame would hold up what waits behind it.
+/// Maximum size of one reply; a gateway asks for less. A longer frame would delay the messages
+/// behind it.
 constexpr auto maxReplyBytes = std::size_t { 256 } << 10;
 
 } // namespace
 
-auto DocumentShelf::hold(const Document &document) -> void
+auto RecentDocuments::addDocument(const Document &document) -> void
 {
     if (!manifests_.empty() && manifests_.back().version == document.version)
         return;
@@ -29,12 +30,12 @@
         dropOldest();
 }
 
-auto DocumentShelf::manifest() const -> proto::ManifestReply
+auto RecentDocuments::manifest() const -> proto::ManifestReply
 {
     return manifests_.empty() ? proto::ManifestReply {} : manifests_.back();
 }
 
-auto DocumentShelf::blocks(const proto::BlocksRequest &request) const -> proto::BlocksReply
+auto RecentDocuments::blocks(const proto::BlocksRequest &request) const -> proto::BlocksReply
 {
     auto reply = proto::BlocksReply {};
     auto bytes = std::size_t { 0 };
@@ -50,7 +51,7 @@
     return reply;
 }
 
-auto DocumentShelf::dropOldest() -> void
+auto RecentDocuments::dropOldest() -> void
 {
     for (const auto &ref : manifests_.front().blocks) {
         const auto found = blocks_.find(ref.id);
