--- a/gateway/answers.h
+++ b/gateway/answers.h
@@ -1,4 +1,4 @@
-// What the gateway looks at in an endpoint's answer before it goes on to the caller.
+// Inspection of an endpoint's answer before it is relayed to the caller.
 
 #ifndef FIGRACK_GATEWAY_ANSWERS_H
 #define FIGRACK_GATEWAY_ANSWERS_H
@@ -11,22 +11,23 @@
 
 namespace figrack::gateway {
 
-/// @return true when the body is a stream of server-sent events
+/// @return true if the body is a stream of server-sent events
 auto isEventStream(const http::Headers &headers) -> bool;
 
 /// @return true for 200 to 299
 auto isSuccess(std::uint32_t status) -> bool;
 
-/// @return the endpoint's headers less those that concern one connection or the body's framing
+/// @return the endpoint's headers without those that apply to a single connection or to the framing
+/// of the body
 auto endToEnd(const http::Headers &headers) -> http::Headers;
 
-/// @param raw one whole event
-/// @return the value of the event's "id:" line; empty when it has none
+/// @param raw one complete event
+/// @return the value of the event's "id:" line; empty if it has none
 auto eventId(std::string_view raw) -> std::string;
 
-/// @param id of an event; a number in decimal digits, rising in a stream
-/// @param given the id of the event that was given to the caller last; empty: none
-/// @return true when the id is not after the one that was given last
+/// @param id ID of an event: a decimal number that increases within a stream
+/// @param given ID of the last event that was sent to the caller; empty if there is none
+/// @return true if the ID is not higher than the one that was sent last
 auto isOldEvent(const std::string &id, const std::string &given) -> bool;
 
 } // namespace figrack::gateway
--- a/gateway/chooser.cpp
+++ b/gateway/chooser.cpp
@@ -1,10 +1,10 @@
-// The endpoint of the affinity is left only when it has clearly more to do than
-// the least loaded one: what is saved by a cached prompt is a few hundred
-// milliseconds of one request, what a longer batch costs is paid by all in it.
+// A request is sent to the endpoint with the highest affinity unless that endpoint is clearly more
+// loaded than the least loaded one: a cached prompt saves a few hundred milliseconds of one
+// request, while a longer batch slows down every request in it.
 //
-// Loads are known with a lag, by all gateways alike. Were each to take the least
-// loaded endpoint, all would take the same one until the next news; so the
-// lesser of two drawn at random is taken.
+// All gateways know the loads only with a delay. If each chose the least loaded endpoint, all of
+// them would choose the same one until the next update. So each draws two endpoints at random and
+// takes the less loaded one.
 
 #include "gateway/chooser.h"
 
@@ -16,30 +16,31 @@
 namespace figrack::gateway {
 namespace {
 
-/// Load, in requests weighed by their prompts, by which the affine endpoint may exceed the least
-/// loaded one: two long prompts.
+/// Maximum load, in requests weighted by their prompts, by which the affine endpoint may exceed the
+/// least loaded one. It corresponds to two long prompts.
 constexpr auto affinitySlack = std::uint32_t { 12 };
 
-auto isMissing(const EndpointEntry &entry, const Wish &wish, const std::string &adapter) -> bool
+auto isMissing(const EndpointEntry &entry, const Criteria &criteria, const std::string &adapter)
+        -> bool
 {
-    const auto found = entry.missingUntil.find({ wish.model, adapter });
-    return found != entry.missingUntil.end() && wish.now < found->second;
+    const auto found = entry.missingUntil.find({ criteria.model, adapter });
+    return found != entry.missingUntil.end() && criteria.now < found->second;
 }
 
-/// @param lack told Adapter when only that is missing
-auto holds(const EndpointEntry &entry, const Wish &wish, Lack &lack) -> bool
+/// @param blockedBy set to Adapter if only the adapter is missing
+auto holds(const EndpointEntry &entry, const Criteria &criteria, BlockedBy &blockedBy) -> bool
 {
-    if (wish.model.empty())
+    if (criteria.model.empty())
         return true;
-    const auto *held = entry.row.find(wish.model);
-    if (held == nullptr || isMissing(entry, wish, {}))
+    const auto *held = entry.row.find(criteria.model);
+    if (held == nullptr || isMissing(entry, criteria, {}))
         return false;
-    if (wish.adapter.empty())
+    if (criteria.adapter.empty())
         return true;
-    if (held->hasAdapter(wish.adapter) && !isMissing(entry, wish, wish.adapter))
+    if (held->hasAdapter(criteria.adapter) && !isMissing(entry, criteria, criteria.adapter))
         return true;
-    if (!wish.avoided.contains(entry.row.id))
-        lack = Lack::Adapter;
+    if (!criteria.avoided.contains(entry.row.id))
+        blockedBy = BlockedBy::Adapter;
     return false;
 }
 
@@ -70,49 +71,49 @@
 
 } // namespace
 
-auto lackName(Lack lack) -> std::string_view
+auto blockedByName(BlockedBy blockedBy) -> std::string_view
 {
     constexpr auto names
             = std::array<std::string_view, 10> { "none",   "endpoint", "model", "adapter",
                                                  "places", "trial",    "limit", "counter",
                                                  "rate",   "backoff" };
-    return names[static_cast<std::size_t>(lack) % names.size()];
+    return names[static_cast<std::size_t>(blockedBy) % names.size()];
 }
 
-auto ableEndpoints(const std::vector<EndpointEntry *> &candidates, const Wish &wish,
+auto ableEndpoints(const std::vector<EndpointEntry *> &candidates, const Criteria &criteria,
                    const std::function<bool(const EndpointEntry &)> &isHealthy) -> Able
 {
     if (candidates.empty())
-        return { {}, Lack::Endpoint, {} };
+        return { {}, BlockedBy::Endpoint, {} };
     auto backoffUntil = Instant::max();
-    auto lack = wish.model.empty() ? Lack::Endpoint : Lack::Model;
+    auto blockedBy = criteria.model.empty() ? BlockedBy::Endpoint : BlockedBy::Model;
     auto healthy = std::vector<EndpointEntry *> {};
     auto doubtful = std::vector<EndpointEntry *> {};
     for (auto *entry : candidates) {
-        if (!holds(*entry, wish, lack))
+        if (!holds(*entry, criteria, blockedBy))
             continue;
-        if (wish.now < entry->backoffUntil) {
+        if (criteria.now < entry->backoffUntil) {
             backoffUntil = std::min(backoffUntil, entry->backoffUntil);
             continue;
         }
-        if (wish.avoided.contains(entry->row.id))
+        if (criteria.avoided.contains(entry->row.id))
             continue;
         (isHealthy(*entry) ? healthy : doubtful).push_back(entry);
     }
     auto &able = healthy.empty() ? doubtful : healthy;
     if (!able.empty())
-        lack = Lack::Nothing;
-    else if (backoffUntil != Instant::max() && lack != Lack::Adapter)
-        lack = Lack::Backoff;
-    return { std::move(able), lack, backoffUntil };
+        blockedBy = BlockedBy::Nothing;
+    else if (backoffUntil != Instant::max() && blockedBy != BlockedBy::Adapter)
+        blockedBy = BlockedBy::Backoff;
+    return { std::move(able), blockedBy, backoffUntil };
 }
 
-auto chooseAmong(const std::vector<EndpointEntry *> &able, const Wish &wish, Random &random)
+auto chooseAmong(const std::vector<EndpointEntry *> &able, const Criteria &criteria, Random &random)
         -> EndpointEntry *
 {
-    if (wish.affinity == 0)
+    if (criteria.affinity == 0)
         return lesserOfTwo(able, random);
-    auto *affine = affineEndpoint(able, wish.affinity);
+    auto *affine = affineEndpoint(able, criteria.affinity);
     const auto keepsUp = affine->load() <= leastLoad(able) + affinitySlack;
     return keepsUp ? affine : lesserOfTwo(able, random);
 }
--- a/gateway/chooser.h
+++ b/gateway/chooser.h
@@ -1,13 +1,13 @@
-// Which endpoints can take a request, and which of them takes it by this
-// gateway's own knowledge.
+// Selects the endpoints that can take a request, and chooses one of them by this gateway's own
+// information.
 //
-//   const auto able = ableEndpoints(candidates, wish, now-healthy predicate);
-//   if (!able.entries.empty()) go(chooseAmong(able.entries, wish, random));
+//   const auto able = ableEndpoints(candidates, criteria, isHealthy);
+//   if (!able.entries.empty()) send(chooseAmong(able.entries, criteria, random));
 //
-// Requests that share parts of their prompt go to the same endpoint while it
-// keeps up, so that the parts need not be read again. All gateways agree on
-// that endpoint without talking: it is the one with the highest hash of part
-// and endpoint (rendezvous hashing). Pure but for the random draw among equals.
+// Requests that share parts of their prompt go to the same endpoint unless it is overloaded, so
+// that the shared parts need not be read again. All gateways choose the same endpoint without
+// communicating: the one with the highest hash of prompt part and endpoint (rendezvous hashing).
+// The functions have no side effects except for drawing random numbers.
 
 #ifndef FIGRACK_GATEWAY_CHOOSER_H
 #define FIGRACK_GATEWAY_CHOOSER_H
@@ -23,50 +23,53 @@
 
 namespace figrack::gateway {
 
-/// What a request asks of an endpoint.
-struct Wish
+/// Criteria that an endpoint must meet to take a request.
+struct Criteria
 {
-    ModelId model;                ///< Empty: a plain service.
-    std::string adapter;          ///< Empty: the model itself.
-    std::uint64_t affinity = 0;   ///< Equal for requests that share a prompt; 0: none.
-    std::set<EndpointId> avoided; ///< Those that failed this very request.
+    ModelId model;       ///< Empty for a plain service.
+    std::string adapter; ///< Empty for the base model.
+    /// Equal for requests that share a prompt; 0 if there is no affinity.
+    std::uint64_t affinity = 0;
+    std::set<EndpointId> avoided; ///< Endpoints that failed this request.
     Instant now {};
 };
 
-/// Why no endpoint can be had.
-enum class Lack : std::uint8_t {
-    Nothing,  ///< One was found.
+/// What prevents a request from getting an endpoint.
+enum class BlockedBy : std::uint8_t {
+    Nothing,  ///< An endpoint was found.
     Endpoint, ///< No endpoint of the service takes work.
-    Model,    ///< None of them holds the model, but for those that failed this request.
-    Adapter,  ///< None of them holds the adapter, though some hold the model.
-    Places,   ///< Those that hold what is asked for have as many requests as they can serve.
-    Trial,    ///< Its work is suspected, and another try of it is not over.
-    Limit,    ///< Its account has used up its limit.
-    Counter,  ///< Nobody that counts what its account uses can be asked.
-    Rate,     ///< Those that hold what is asked for have got all requests of late that they take.
-    Backoff,  ///< Those that hold what is asked for asked this gateway for a backoff.
+    Model,    ///< No endpoint holds the model, except those that failed this request.
+    Adapter,  ///< Some endpoints hold the model, but none holds the adapter.
+    Places,   ///< The endpoints that hold the model are at full capacity.
+    Trial,    ///< The work is suspected, and another attempt of it is still running.
+    Limit,    ///< The account has used up its limit.
+    Counter,  ///< No balancer that counts the account's usage can be reached.
+    Rate,     ///< The endpoints that hold the model have received all the requests that their rates
+              ///< allow.
+    Backoff,  ///< The endpoints that hold the model asked this gateway for a backoff.
 };
 
 /// @return "none", "endpoint", "model", "adapter", "places", "trial", "limit", "counter", "rate" or
 /// "backoff"
-auto lackName(Lack lack) -> std::string_view;
+auto blockedByName(BlockedBy blockedBy) -> std::string_view;
 
+/// The endpoints that can take a request.
 struct Able
 {
-    std::vector<EndpointEntry *> entries; ///< None when something lacks.
-    Lack lack = Lack::Nothing;
-    Instant backoffUntil = Instant::max(); ///< With Backoff: when the first one is over.
+    std::vector<EndpointEntry *> entries; ///< Empty if blockedBy is not Nothing.
+    BlockedBy blockedBy = BlockedBy::Nothing;
+    Instant backoffUntil = Instant::max(); ///< If blocked by Backoff: earliest end of a backoff.
 };
 
-/// @param candidates endpoints of the service that take work
-/// @param isHealthy those for which it is false are named only when no other is left
-/// @return the endpoints that can take the request; none whose backoff lasts
-auto ableEndpoints(const std::vector<EndpointEntry *> &candidates, const Wish &wish,
+/// @param candidates endpoints of the service that accept new requests
+/// @param isHealthy endpoints for which it returns false are returned only if no other is left
+/// @return the endpoints that can take the request, without those in backoff
+auto ableEndpoints(const std::vector<EndpointEntry *> &candidates, const Criteria &criteria,
                    const std::function<bool(const EndpointEntry &)> &isHealthy) -> Able;
 
-/// @param able one endpoint at least
-/// @return the one to take by this gateway's knowledge alone
-auto chooseAmong(const std::vector<EndpointEntry *> &able, const Wish &wish, Random &random)
+/// @param able endpoints that can take the request; must not be empty
+/// @return the endpoint to use by this gateway's own information
+auto chooseAmong(const std::vector<EndpointEntry *> &able, const Criteria &criteria, Random &random)
         -> EndpointEntry *;
 
 } // namespace figrack::gateway
--- a/gateway/controlfeed.cpp
+++ b/gateway/controlfeed.cpp
@@ -1,3 +1,8 @@
+// The balancer and the source of proofs are chosen by rendezvous hashing among the connected
+// controls: the balancer with the same key at all gateways, the source of proofs with a key of the
+// gateway's own, so that the proofs are spread over the controls. A control that does not answer
+// is skipped for balancerPause.
+
 #include "gateway/controlfeed.h"
 
 #include <algorithm>
@@ -14,14 +19,16 @@
 
 namespace {
 
-/// Picks one order of the controls, alike at all gateways.
+/// Hash key that gives the same order of the controls at all gateways.
 constexpr auto balancerKey = std::uint64_t { 0x62616c616e636572 };
-/// Between two questions for a proof while there is none: after a start, and after a cut.
-constexpr auto proveAgain = std::chrono::milliseconds { 100 };
-/// A timer that fires a little early must not be set anew without a pause.
-constexpr auto shortestLook = std::chrono::milliseconds { 1 };
-
-/// @return the reply as one of a type; nullptr when there is none, or it is another
+/// Interval between requests for a proof while there is no valid one, which is the case after a
+/// start and after a network partition.
+constexpr auto proofRetryInterval = std::chrono::milliseconds { 100 };
+/// Minimum delay of the fetch timer, so that a timer that fires slightly early is not restarted in
+/// a busy loop.
+constexpr auto minCheckDelay = std::chrono::milliseconds { 1 };
+
+/// @return the reply if it is of the type T; otherwise nullptr
 template<typename T>
 auto replyAs(const absl::StatusOr<proto::Payload> &reply) -> const T *
 {
@@ -81,7 +88,7 @@
         if (auto rows = hooks_.suspects(); !rows.empty())
             peer->send({ 0, proto::SuspectNews { std::move(rows) } });
         if (!lease_.isCurrent())
-            proveKeys();
+            requestProof();
     }
 
     auto onClose(const Address &address, const absl::Status &status) -> void
@@ -112,7 +119,7 @@
                 dial(*other);
         }
         if (!update->controls.empty())
-            dropGone(update->controls);
+            dropUnlisted(update->controls);
         fetch_.onAnnounced(address, update->document);
         hooks_.onUpdate(*update);
         if (update->wantsAck)
@@ -120,8 +127,8 @@
         fetchDocument();
     }
 
-    /// Lets go of controls that are listed no more and do not answer.
-    auto dropGone(const std::vector<coord::Member> &members) -> void
+    /// Drops controls that are no longer listed and no longer connected.
+    auto dropUnlisted(const std::vector<coord::Member> &members) -> void
     {
         const auto isListed = [&](const Address &address) {
             return std::any_of(members.begin(), members.end(), [&](const coord::Member &member) {
@@ -145,14 +152,14 @@
             return;
         while (const auto document = fetch_.take()) {
             if (hooks_.onDocument(*document))
-                tellInForce(document->version);
+                reportInForce(document->version);
         }
         for (const auto &ask : fetch_.next())
             std::visit([this](const auto &question) { send(question); }, ask);
-        lookLater();
+        scheduleNextCheck();
     }
 
-    auto tellInForce(Revision version) -> void
+    auto reportInForce(Revision version) -> void
     {
         inForce_ = version;
         lease_.onInForce(version);
@@ -199,13 +206,14 @@
         fetchDocument();
     }
 
-    /// Looks again when a question will be overdue, so that another control is asked.
-    auto lookLater() -> void
+    /// Schedules the next check, for example when a request becomes overdue, so that another
+    /// control is asked.
+    auto scheduleNextCheck() -> void
     {
-        const auto look = fetch_.nextLook();
-        if (!look)
+        const auto nextCheck = fetch_.nextCheckAt();
+        if (!nextCheck)
             return;
-        fetchTimer_.expires_after(std::max<Duration>(*look - clock_.now(), shortestLook));
+        fetchTimer_.expires_after(std::max<Duration>(*nextCheck - clock_.now(), minCheckDelay));
         fetchTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (self && !error)
@@ -237,7 +245,7 @@
         }
     }
 
-    /// @return false when no leader is known or connected
+    /// @return false if no leader is known or connected
     auto pushToLeader(proto::Payload payload) -> bool
     {
         for (auto &[address, control] : controls_) {
@@ -278,7 +286,8 @@
     auto endPick(const Address &address, const proto::PickEnd &end) -> void
     {
         const auto found = controls_.find(address);
-        // A control that has gone has lost its account; the next one begins without.
+        // A control that has gone has lost its record of bookings, and the next balancer starts
+        // without one.
         if (found != controls_.end() && found->second.open)
             static_cast<void>(found->second.client->push(end));
     }
@@ -302,20 +311,20 @@
     auto seeds() const -> const std::vector<Address> & { return options_.seeds; }
     auto keyLease() const -> const KeyLease & { return lease_; }
 
-    /// Asks a control for proof that the document in force is current, and again before that is
-    /// too old.
-    auto proveKeys() -> void
+    /// Asks a control for proof that the document in force is current, and schedules the next
+    /// request so that the proof is renewed before it expires.
+    auto requestProof() -> void
     {
         if (stopped_ || !lease_.isStrict())
             return;
         proveTimer_.expires_after(lease_.isCurrent() ? lease_.renewEvery()
-                                                     : Duration { proveAgain });
+                                                     : Duration { proofRetryInterval });
         proveTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (self && !error)
-                self->proveKeys();
+                self->requestProof();
         });
-        const auto address = prover();
+        const auto address = proofSource();
         if (!address)
             return;
         auto done = [weak = weak_from_this(), address = *address,
@@ -331,14 +340,14 @@
     struct Control
     {
         std::unique_ptr<proto::PeerClient> client;
-        NodeId node; ///< Empty until it has answered once.
+        NodeId node; ///< Empty until the control has connected once.
         bool open = false;
-        Instant balancesFrom {}; ///< Not asked for picks before.
-        Instant provesFrom {};   ///< Nor for proofs before this.
+        Instant balancesFrom {}; ///< Not asked for picks before this time.
+        Instant provesFrom {};   ///< Not asked for proofs before this time.
     };
 
-    /// @return the control that picks are asked of: of those connected the one with the highest
-    /// hash, and the leader, which has plans to make, only when there is no other
+    /// @return the control that is asked for picks: the connected one with the highest hash. The
+    /// leader is used only if there is no other, since it also does the planning
     auto balancer() const -> std::optional<Address>
     {
         const auto now = clock_.now();
@@ -361,8 +370,8 @@
         return best ? best : leader;
     }
 
-    /// @return the control that proofs are asked of: each gateway has its own order of them
-    auto prover() const -> std::optional<Address>
+    /// @return the control that is asked for proofs; each gateway has its own order of controls
+    auto proofSource() const -> std::optional<Address>
     {
         const auto now = clock_.now();
         const auto key = std::hash<std::string> {}(options_.callers.text());
@@ -395,7 +404,7 @@
         const auto found = controls_.find(address);
         if (demanded != Revision {} || found == controls_.end() || stopped_)
             return;
-        // It is dead, or cut off from the others: another one is asked at once.
+        // The control is down or cut off from the others, so ask another one immediately.
         found->second.provesFrom = clock_.now() + options_.balancerPause;
         LogEvent(LogLevel::Warning, "keys_not_proved")
                 .with("control", found->second.node)
@@ -403,7 +412,7 @@
                       std::chrono::duration_cast<std::chrono::milliseconds>(lease_.age()).count())
                 .with("current", was)
                 .with(reply.status());
-        proveKeys();
+        requestProof();
     }
 
     auto onBalancerFailed(const Address &address, std::uint64_t ticket, const absl::Status &status)
@@ -427,7 +436,7 @@
     std::map<Address, Control> controls_;
     NodeId leader_;
     Term leaderTerm_;
-    Revision inForce_; ///< Obeyed here.
+    Revision inForce_; ///< Version of the document in force here.
     DocumentFetch fetch_;
     BootTimer fetchTimer_;
     KeyLease lease_;
--- a/gateway/controlfeed.h
+++ b/gateway/controlfeed.h
@@ -1,18 +1,18 @@
-// A gateway's connections to all controls: what they know comes in, demand goes out.
+// A gateway's connections to all controls: receives updates, and sends demand reports.
 //
-//   auto feed = ControlFeed { context, options, hooks };
+//   auto feed = ControlFeed { context, options, clock, hooks };
 //   feed.start();
 //   feed.setReady(true);                 // callers may be sent here
-//   feed.sendWanted(demand.take());      // to the leader, as far as known
+//   feed.sendWanted(demand.take());      // to the leader, if it is known and connected
 //
-// The first controls come from the settings, later ones from the controls'
-// own updates; both lists may lag, so an address that answered once is kept
-// until the controls name others. Every control is listened to: news of an
-// endpoint reaches the gateway by whichever control hears it first, and the
-// loss of any control costs nothing. Which control is asked for a document, and
-// when another, is decided by DocumentFetch. Where keys that are taken away bind
-// gateways out of touch too, one control at a time is asked for proof that the
-// document is current (gateway/keylease.h). Not thread-safe.
+// The first control addresses come from the settings, later ones from the updates of the controls.
+// Both lists may be out of date, so an address that has answered once is kept until the controls
+// list others. The gateway listens to every control, so news of an endpoint arrives through
+// whichever control learns of it first, and the loss of any one control has no effect.
+//
+// DocumentFetch decides which control is asked for a document, and when another one is asked. If
+// revoked keys must also stop working at gateways that are cut off, one control at a time is asked
+// for proof that the document is current (gateway/keylease.h). Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_CONTROLFEED_H
 #define FIGRACK_GATEWAY_CONTROLFEED_H
@@ -37,28 +37,30 @@
 struct ControlFeedOptions
 {
     proto::ChannelOptions channel;
-    Address callers; ///< Where callers connect to this gateway.
+    Address callers; ///< Address at which callers connect to this gateway.
     DomainId domain;
-    std::vector<Address> seeds; ///< Controls' addresses for peers.
+    std::vector<Address> seeds; ///< Peer addresses of controls.
     DocumentFetchOptions documents;
-    /// A question for a document is written off after so long, and its control may be asked again:
-    /// as long as a silent connection is kept. Others are asked long before.
+    /// A request for a document fails after this time, and its control may be asked again. This
+    /// equals the time for which a silent connection is kept. Other controls are asked long before.
     Duration documentTimeout = std::chrono::seconds { 3 };
-    /// A control that did not answer a pick in time is not asked again for so long: one that is
-    /// frozen or cut off is found out by the channel's idle timeout only.
+    /// A control that did not answer a pick or a proof request in time is not asked again for this
+    /// time, since a control that hangs or is cut off is detected only by the channel's idle
+    /// timeout.
     Duration balancerPause = std::chrono::seconds { 1 };
     KeyLeaseOptions keyLease;
 };
 
 struct ControlFeedHooks
 {
-    std::function<void(const proto::ServingUpdate &)> onUpdate;
-    /// @return true when it is obeyed from now on
+    std::function<void(const proto::ServingUpdate &)> onUpdate; ///< Called for each update.
+    /// Called when a document has been fetched. @return true if it is in force from now on
     std::function<bool(const FetchedDocument &)> onDocument;
     std::function<void(const proto::SuspectNews &)> onSuspects;
-    /// @return what this gateway knows of suspected work: a control that has just started may not
+    /// @return the suspected work known to this gateway. It is sent to each control that connects,
+    /// since a control that has just started may not know it
     std::function<std::vector<catalogue::SuspectRow>()> suspects;
-    std::function<void()> onKeysProved; ///< May be empty.
+    std::function<void()> onKeysProved; ///< Called when keys become current; may be empty.
 };
 
 class ControlFeed
@@ -71,18 +73,20 @@
     auto stop() -> void;
     /// Tells all controls whether callers may be sent to this gateway.
     auto setReady(bool ready) -> void;
-    /// Dials these controls too. @param seeds their addresses for peers
+    /// Connects to more controls. @param seeds their peer addresses
     auto addSeeds(const std::vector<Address> &seeds) -> void;
-    /// @return false when no leader is known or connected
+    /// Sends a demand report to the leader. @return false if no leader is known or connected
     auto sendWanted(proto::ModelWanted wanted) -> bool;
-    /// Tells all controls: each may be the only one that another gateway is connected to.
+    /// Sends suspected work to all controls, since each may be the only one that another gateway is
+    /// connected to.
     auto sendSuspects(const std::vector<catalogue::SuspectRow> &rows) -> void;
-    /// The control that balances for all gateways, as a link for Picker. Gateways agree on it
-    /// without talking as long as they are connected to the same controls.
+    /// @return a link for Picker to the control that balances for all gateways. Gateways that are
+    /// connected to the same controls choose the same one without communicating.
     auto balancerLink() -> BalancerLink;
-    /// @return whether the keys of the document in force may be relied on; as old as the feed
+    /// @return the lease that tells whether the keys of the document in force may be used; valid as
+    /// long as the feed
     auto keyLease() const -> const KeyLease &;
-    /// @return controls to which a connection stands
+    /// @return number of controls that are connected
     auto connected() const -> std::size_t;
 
 private:
--- a/gateway/endingwatch.cpp
+++ b/gateway/crashdetector.cpp
@@ -1,7 +1,8 @@
-// One Case an endpoint at which dispatches broke off of late. It is open until the endpoint is
-// known to have ended; then what comes for it is noted at once.
+// There is one Case for each endpoint at which dispatches broke off recently. A case collects
+// suspect work until the endpoint is known to have crashed. After that, further work that broke off
+// at the endpoint is recorded in the quarantine table immediately.
 
-#include "gateway/endingwatch.h"
+#include "gateway/crashdetector.h"
 
 #include <algorithm>
 #include <map>
@@ -22,10 +23,10 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-class EndingWatch::Impl : public std::enable_shared_from_this<Impl>
+class CrashDetector::Impl : public std::enable_shared_from_this<Impl>
 {
 public:
-    Impl(EndingWatchOptions options, EndingWatchParts parts, std::function<void()> onSuspects)
+    Impl(CrashDetectorOptions options, CrashDetectorParts parts, std::function<void()> onSuspects)
         : options_(options)
         , parts_(parts)
         , onSuspects_(std::move(onSuspects))
@@ -36,43 +37,43 @@
         forgetOld();
         const auto *entry = parts_.view.find(endpoint);
         const auto known = cases_.find(endpoint);
-        const auto isOver = known != cases_.end() && known->second.ended;
-        const auto leaves = entry == nullptr || entry->leaves();
-        if (leaves && !isOver)
+        const auto wasCrashed = known != cases_.end() && known->second.crashed;
+        const auto isLeaving = entry == nullptr || entry->isLeaving();
+        if (isLeaving && !wasCrashed)
             return;
         auto &open = cases_.try_emplace(endpoint, Case { parts_.clock.now() }).first->second;
         if (open.suspects.size() < options_.maxSuspects)
             open.suspects.push_back(std::move(suspect));
-        if (open.ended)
+        if (open.crashed)
             conclude(endpoint, open);
         else if (!std::exchange(open.dialling, true))
             asio::co_spawn(parts_.context, dial(shared_from_this(), endpoint, entry->row.address),
                            asio::detached);
     }
 
-    auto hasEnded(const EndpointId &endpoint) -> asio::awaitable<bool>
+    auto hasCrashed(const EndpointId &endpoint) -> asio::awaitable<bool>
     {
         const auto found = cases_.find(endpoint);
-        if (found == cases_.end() || found->second.ended || !found->second.dialling)
-            co_return found != cases_.end() && found->second.ended;
-        auto timer = std::make_shared<BootTimer>(parts_.context, options_.confirmPatience);
+        if (found == cases_.end() || found->second.crashed || !found->second.dialling)
+            co_return found != cases_.end() && found->second.crashed;
+        auto timer = std::make_shared<BootTimer>(parts_.context, options_.confirmTimeout);
         found->second.waiting.push_back(timer);
         auto code = boost::system::error_code {};
         co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, code));
         const auto after = cases_.find(endpoint);
-        co_return after != cases_.end() && after->second.ended;
+        co_return after != cases_.end() && after->second.crashed;
     }
 
-    auto onOver(const EndpointId &endpoint, catalogue::EndpointState before) -> void
+    auto onSuperseded(const EndpointId &endpoint, catalogue::EndpointState before) -> void
     {
         forgetOld();
         if (before != catalogue::EndpointState::Ready)
-            return; // It ended as planned: its work is not to blame.
+            return; // The end was planned, so its work is not the cause.
         auto &open = cases_.try_emplace(endpoint, Case { parts_.clock.now() }).first->second;
         conclude(endpoint, open);
     }
 
-    auto onAcquitted(const catalogue::WorkIds &works) -> void
+    auto onCleared(const catalogue::WorkIds &works) -> void
     {
         LogEvent(LogLevel::Info, "work_acquitted").with("work", works.ofAnyone.text());
         onSuspects_();
@@ -82,10 +83,10 @@
     struct Case
     {
         Instant since {};
-        std::vector<SuspectWork> suspects = {}; ///< Not noted in the table yet.
+        std::vector<SuspectWork> suspects = {}; ///< Not recorded in the quarantine table yet.
         std::vector<std::shared_ptr<BootTimer>> waiting = {};
         bool dialling = false;
-        bool ended = false;
+        bool crashed = false;
     };
 
     // NOLINTNEXTLINE(performance-unnecessary-value-param): a coroutine owns what it uses.
@@ -94,11 +95,11 @@
     {
         const auto weak = std::weak_ptr { self };
         auto &context = self->parts_.context;
-        // Shared: when the connection is decided in the turn of the loop in which the timer has
-        // expired, the timer's handler runs after this coroutine has ended.
+        // Shared: if the connection attempt completes in the same event loop iteration in which the
+        // timer expires, the timer's handler runs after this coroutine has ended.
         const auto socket = std::make_shared<tcp::socket>(context);
         auto timer = BootTimer { context, self->options_.dialTimeout };
-        self.reset(); // The watch may end meanwhile.
+        self.reset(); // The detector may be destroyed meanwhile.
         timer.async_wait([socket](const boost::system::error_code &error) {
             auto ignored = boost::system::error_code {};
             if (!error)
@@ -111,8 +112,8 @@
             co_await socket->async_connect(peer, asio::redirect_error(asio::use_awaitable, code));
         }
         timer.cancel();
-        if (const auto watch = weak.lock())
-            watch->onDialled(endpoint, code);
+        if (const auto detector = weak.lock())
+            detector->onDialled(endpoint, code);
     }
 
     auto onDialled(const EndpointId &endpoint, const boost::system::error_code &code) -> void
@@ -132,11 +133,11 @@
             wake(open);
     }
 
-    /// The endpoint has ended: what was in progress there is suspected.
+    /// Handles the crash of an endpoint: the work that was in progress there becomes suspected.
     auto conclude(const EndpointId &endpoint, Case &open) -> void
     {
         const auto now = policy::millisOf(parts_.clock.now());
-        const auto isNews = !std::exchange(open.ended, true) && !open.suspects.empty();
+        const auto isNews = !std::exchange(open.crashed, true) && !open.suspects.empty();
         if (isNews) {
             parts_.metrics.onEndpointEnded();
             LogEvent(LogLevel::Warning, "endpoint_ended")
@@ -172,46 +173,47 @@
 
     auto forgetOld() -> void
     {
-        const auto limit = parts_.clock.now() - options_.awaitNews;
+        const auto limit = parts_.clock.now() - options_.incarnationNewsTimeout;
         std::erase_if(cases_, [&](const auto &item) {
             return item.second.since < limit && !item.second.dialling
                     && item.second.waiting.empty();
         });
     }
 
-    EndingWatchOptions options_;
-    EndingWatchParts parts_;
+    CrashDetectorOptions options_;
+    CrashDetectorParts parts_;
     std::function<void()> onSuspects_;
     std::map<EndpointId, Case> cases_;
 };
 
-EndingWatch::EndingWatch(EndingWatchOptions options, EndingWatchParts parts,
-                         std::function<void()> onSuspects)
+CrashDetector::CrashDetector(CrashDetectorOptions options, CrashDetectorParts parts,
+                             std::function<void()> onSuspects)
     : impl_(std::make_shared<Impl>(options, parts, std::move(onSuspects)))
 { }
 
-EndingWatch::~EndingWatch() = default;
+CrashDetector::~CrashDetector() = default;
 
-auto EndingWatch::note(const EndpointId &endpoint, SuspectWork suspect) -> void
+auto CrashDetector::note(const EndpointId &endpoint, SuspectWork suspect) -> void
 {
     impl_->note(endpoint, std::move(suspect));
 }
 
-auto EndingWatch::hasEnded(const EndpointId &endpoint) -> asio::awaitable<bool>
+auto CrashDetector::hasCrashed(const EndpointId &endpoint) -> asio::awaitable<bool>
 {
-    // Kept alive by this frame.
+    // Keep the implementation alive for the lifetime of this coroutine frame.
     const auto impl = impl_;
-    co_return co_await impl->hasEnded(endpoint);
+    co_return co_await impl->hasCrashed(endpoint);
 }
 
-auto EndingWatch::onOver(const EndpointId &endpoint, catalogue::EndpointState before) -> void
+auto CrashDetector::onSuperseded(const EndpointId &endpoint, catalogue::EndpointState before)
+        -> void
 {
-    impl_->onOver(endpoint, before);
+    impl_->onSuperseded(endpoint, before);
 }
 
-auto EndingWatch::onAcquitted(const catalogue::WorkIds &works) -> void
+auto CrashDetector::onCleared(const catalogue::WorkIds &works) -> void
 {
-    impl_->onAcquitted(works);
+    impl_->onCleared(works);
 }
 
 } // namespace figrack::gateway
--- a/gateway/demand.cpp
+++ b/gateway/demand.cpp
@@ -29,16 +29,16 @@
     --counts_[target].running;
 }
 
-auto Demand::onLack(const DemandTarget &target) -> void
+auto Demand::onWaitBegin(const DemandTarget &target) -> void
 {
     auto &counts = counts_[target];
     if (counts.waiting++ == 0)
-        counts.lackingSince = clock_.now();
+        counts.waitingSince = clock_.now();
     if (onUrgent_)
         onUrgent_();
 }
 
-auto Demand::onLackEnd(const DemandTarget &target) -> void
+auto Demand::onWaitEnd(const DemandTarget &target) -> void
 {
     --counts_[target].waiting;
 }
@@ -55,11 +55,11 @@
         onUrgent_();
 }
 
-auto Demand::lackingSince(const DemandTarget &target) const -> Instant
+auto Demand::waitingSince(const DemandTarget &target) const -> Instant
 {
     const auto found = counts_.find(target);
     const auto waits = found != counts_.end() && found->second.waiting > 0;
-    return waits ? found->second.lackingSince : clock_.now();
+    return waits ? found->second.waitingSince : clock_.now();
 }
 
 auto Demand::take() -> proto::ModelWanted
--- a/gateway/demand.h
+++ b/gateway/demand.h
@@ -1,8 +1,8 @@
-// Which models are asked for at this gateway, for the leader's placement.
+// Counts which models are requested at this gateway, for the leader's placement.
 //
 //   demand.onArrival(target);
-//   demand.onLack(target);               // no endpoint holds it: told to the leader at once
-//   auto report = demand.take();
+//   demand.onWaitBegin(target);          // no endpoint holds it: reported to the leader
+//   immediately auto report = demand.take();
 //
 // Not thread-safe.
 
@@ -20,7 +20,7 @@
 
 namespace figrack::gateway {
 
-/// A model, or an adapter of it, of one service.
+/// A model of a service, or an adapter of that model.
 struct DemandTarget
 {
     ServiceId service;
@@ -34,22 +34,24 @@
 {
 public:
     explicit Demand(const Clock &clock);
-    /// @param onUrgent called when a report should leave at once
+    /// @param onUrgent called when a report should be sent immediately
     auto setOnUrgent(std::function<void()> onUrgent) -> void;
     auto onArrival(const DemandTarget &target) -> void;
     auto onStart(const DemandTarget &target) -> void;
     auto onEnd(const DemandTarget &target) -> void;
-    /// A request begins to wait for the target to be loaded.
-    auto onLack(const DemandTarget &target) -> void;
-    auto onLackEnd(const DemandTarget &target) -> void;
-    /// A request began or paused later than it should at an endpoint that holds the target.
+    /// Called when a request begins to wait for the target to be loaded.
+    auto onWaitBegin(const DemandTarget &target) -> void;
+    auto onWaitEnd(const DemandTarget &target) -> void;
+    /// Called when an endpoint that holds the target exceeded the latency targets of a request.
     auto onLate(const DemandTarget &target) -> void;
-    /// A request was refused since the target cannot be loaded in time: its caller comes back, and
-    /// others come, so the leader hears of it at once like of one that waits.
+    /// Called when a request was refused because the target cannot be loaded in time. Its caller
+    /// will retry and other callers will come, so the leader is notified immediately, as for a
+    /// request that waits.
     auto onRefused(const DemandTarget &target) -> void;
-    /// @return since when a request has been waiting for the target; now when none has
-    auto lackingSince(const DemandTarget &target) const -> Instant;
-    /// @return the report since the last one; its counts start anew
+    /// @return the time since which requests have been waiting for the target; the current time if
+    /// none is waiting
+    auto waitingSince(const DemandTarget &target) const -> Instant;
+    /// @return the report for the time since the last call, and resets the counts of that time
     auto take() -> proto::ModelWanted;
 
 private:
@@ -60,7 +62,7 @@
         std::uint32_t running = 0;
         std::uint32_t refused = 0;
         std::uint32_t late = 0;
-        Instant lackingSince {};
+        Instant waitingSince {};
     };
 
     const Clock &clock_;
--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -1,7 +1,7 @@
-// How callers and endpoints of a deployment phrase what the gateway works with.
+// Conversion between a deployment's wire format and the terms the gateway works with.
 //
-// The gateway decides on CallerRequest, DispatchTerms and Refusal alone; an
-// adapter gives it a Dialect that reads and writes their wire form.
+// The gateway makes its decisions on CallerRequest, DispatchTerms and Refusal only. An adapter
+// provides a Dialect that reads and writes their wire form.
 
 #ifndef FIGRACK_GATEWAY_DIALECT_H
 #define FIGRACK_GATEWAY_DIALECT_H
@@ -26,67 +26,68 @@
 
 namespace figrack::gateway {
 
-/// One part of a prompt; requests that share it name the same id.
+/// One part of a prompt. Requests that share the part use the same ID.
 struct PromptPart
 {
     std::uint64_t id = 0;
     std::uint64_t tokens = 0;
 };
 
-/// A request as it came from a caller.
+/// A request as received from a caller.
 struct CallerRequest
 {
     RequestId id;
-    std::string account; ///< Client account, or whatever else tells callers apart.
-    std::string key;     ///< That the caller shows; empty: none. Never logged.
+    std::string account; ///< Client account, or another value that distinguishes callers.
+    std::string key;     ///< API key of the caller; empty if there is none. Never logged.
     std::string host;
     std::string path;
-    http::Headers headers; ///< Those that go on to the endpoint as they are.
-    /// By which the caller says who it is; they go on only where there are no accounts.
+    http::Headers headers; ///< Headers that are forwarded to the endpoint unchanged.
+    /// Headers that identify the caller. They are forwarded only if there are no accounts.
     http::Headers credentials;
-    ModelId model; ///< Empty: it asks for no model.
+    ModelId model; ///< Empty if the request needs no model.
     std::string adapter;
     std::uint64_t promptTokens = 0;
-    std::uint64_t outputTokens = 0;   ///< At most.
-    bool namesTokens = false;         ///< Both numbers are the caller's.
-    std::vector<PromptPart> prompt;   ///< In order; the last one is its own.
-    std::optional<Duration> deadline; ///< How long the caller waits, from its sending.
-    std::string resumeAfter;          ///< Id of the last event it has of a broken stream.
+    std::uint64_t outputTokens = 0;   ///< Maximum number of output tokens.
+    bool namesTokens = false;         ///< The caller stated both token counts.
+    std::vector<PromptPart> prompt;   ///< In order; the last part belongs to this request alone.
+    std::optional<Duration> deadline; ///< How long the caller waits after sending the request.
+    std::string resumeAfter;          ///< ID of the last event received of a broken stream.
 };
 
-/// What the gateway sets on one dispatch to an endpoint.
+/// Values that the gateway sets on one dispatch to an endpoint.
 struct DispatchTerms
 {
-    EndpointId endpoint; ///< Any other endpoint at the address must not run it.
-    Duration left {};    ///< Until nobody waits any more.
+    EndpointId endpoint; ///< No other endpoint at the address may run the request.
+    Duration left {};    ///< Time until the caller stops waiting.
     std::uint32_t rank = 0;
-    bool hasAccounts = false; ///< What the caller says of who it is does not go on.
-    AccountId account;        ///< Of the caller; empty: nobody's.
-    std::string resumeAfter;  ///< Not empty: go on after this event.
-    /// An endpoint that keeps more of the prompt in its KV cache, to fetch it from.
+    bool hasAccounts = false; ///< If true, the headers that identify the caller are not forwarded.
+    AccountId account;        ///< Account of the caller; empty if there is none.
+    std::string resumeAfter;  ///< If not empty, the ID of the event after which to resume.
+    /// Address of an endpoint that holds more of the prompt in its KV cache, to fetch it from.
     std::optional<Address> fetchFrom;
 };
 
-/// A final answer of the gateway's own.
+/// A final answer that the gateway itself creates.
 struct Refusal
 {
     absl::Status status;
-    bool notRun = true;                 ///< The request has not run and never will.
-    std::optional<Duration> retryAfter; ///< When to come back.
+    bool notRun = true;                 ///< The request has not run and will not run.
+    std::optional<Duration> retryAfter; ///< Time after which the caller should retry.
 };
 
+/// The functions that convert between wire form and gateway terms.
 struct Dialect
 {
     /// @return the request, or BadRequest
     std::function<absl::StatusOr<CallerRequest>(const http::Request &)> readRequest;
     /// @return all headers of a dispatch
     std::function<http::Headers(const CallerRequest &, const DispatchTerms &)> writeDispatch;
-    /// @return what the head of an answer says of the endpoint
+    /// @return what the head of an answer says about the endpoint
     std::function<catalogue::EndpointNotice(const EndpointId &meant, std::uint32_t status,
                                             const http::Headers &)>
             readNotice;
     std::function<http::Response(const Refusal &)> writeRefusal;
-    std::string answerIdHeader; ///< Names the request that an answer belongs to.
+    std::string answerIdHeader; ///< Name of the header that identifies the request of an answer.
     /// @return the catalogue that a document holds, or BadRequest
     std::function<absl::StatusOr<catalogue::Catalogue>(std::string_view)> readDocument;
 };
--- a/gateway/documentfetch.cpp
+++ b/gateway/documentfetch.cpp
@@ -47,14 +47,15 @@
     const auto found = sources_.find(control);
     if (found == sources_.end())
         return;
-    found->second.question.reset();
+    found->second.pending.reset();
     found->second.notBefore = clock_.now() + options_.failedPause;
 }
 
 auto DocumentFetch::onManifest(const Address &control, const proto::ManifestReply &reply) -> void
 {
     onAnswer(control);
-    // It began anew, or is another one at the address: what it announced does not hold.
+    // The control may have restarted, or another one may use its address, so its earlier
+    // announcement is no longer valid.
     sources_[control].announced = reply.version;
     if (reply.version <= version_ || target_)
         return;
@@ -81,7 +82,8 @@
         if (blocks_.try_emplace(id, bytes).second)
             target_->fetchedBytes += bytes.size();
     }
-    // The control keeps the blocks of a few documents. What came is of use for a newer one, too.
+    // A control keeps the blocks of only a few documents and no longer has those of the target.
+    // Blocks that were already fetched may be used for a newer document.
     if (!took && !missing().empty())
         target_.reset();
 }
@@ -92,7 +94,8 @@
     auto asks = std::vector<DocumentAsk> {};
     if (isWaiting() || !mayBegin())
         return asks;
-    // Better an older document than none, when nobody in reach holds the one that was begun.
+    // If no reachable control holds the target any more, fetch an older document that is still
+    // newer than the one in force.
     if (target_ && newestAnnounced() < target_->version && newestAnnounced() > version_)
         target_.reset();
     if (target_) {
@@ -114,17 +117,17 @@
     return asks;
 }
 
-auto DocumentFetch::nextLook() const -> std::optional<Instant>
+auto DocumentFetch::nextCheckAt() const -> std::optional<Instant>
 {
     auto result = std::optional<Instant> {};
     for (const auto &[control, source] : sources_) {
-        if (source.question && !source.question->isOverdue)
-            result = std::min(result.value_or(Instant::max()), source.question->overdueAt);
+        if (source.pending && !source.pending->isOverdue)
+            result = std::min(result.value_or(Instant::max()), source.pending->overdueAt);
     }
     if (result || newestAnnounced() <= version_)
         return result;
     if (firstHeardAt_ && !mayBegin())
-        return *firstHeardAt_ + options_.startPatience;
+        return *firstHeardAt_ + options_.majorityTimeout;
     for (const auto &[control, source] : sources_) {
         if (source.announced > version_ && source.notBefore > clock_.now())
             result = std::min(result.value_or(Instant::max()), source.notBefore);
@@ -161,9 +164,9 @@
 {
     const auto now = clock_.now();
     for (auto &[control, source] : sources_) {
-        if (!source.question || source.question->isOverdue || now < source.question->overdueAt)
+        if (!source.pending || source.pending->isOverdue || now < source.pending->overdueAt)
             continue;
-        source.question->isOverdue = true;
+        source.pending->isOverdue = true;
         ++unanswered_;
         ++overdue_;
         LogEvent(LogLevel::Warning, "document_question_overdue")
@@ -183,7 +186,7 @@
     const auto announced = std::count_if(sources_.begin(), sources_.end(),
                                          [](const auto &item) { return item.second.hasAnnounced; });
     const auto isMajority = 2 * static_cast<std::size_t>(announced) > sources_.size();
-    return isMajority || clock_.now() >= *firstHeardAt_ + options_.startPatience;
+    return isMajority || clock_.now() >= *firstHeardAt_ + options_.majorityTimeout;
 }
 
 auto DocumentFetch::newestAnnounced() const -> Revision
@@ -197,18 +200,18 @@
 auto DocumentFetch::isWaiting() const -> bool
 {
     return std::any_of(sources_.begin(), sources_.end(), [](const auto &item) {
-        return item.second.question && !item.second.question->isOverdue;
+        return item.second.pending && !item.second.pending->isOverdue;
     });
 }
 
-/// @return a control that holds the version and has no question to answer, this gateway's own first
-/// before others; nullopt when there is none
+/// @return the first control, in this gateway's order, that holds the version and has no pending
+/// request; nullopt if there is none
 auto DocumentFetch::bestSource(Revision version) const -> std::optional<Address>
 {
     auto best = std::optional<Address> {};
     auto bestWeight = std::uint64_t { 0 };
     for (const auto &[control, source] : sources_) {
-        if (source.announced < version || source.question || clock_.now() < source.notBefore)
+        if (source.announced < version || source.pending || clock_.now() < source.notBefore)
             continue;
         const auto weight = rendezvousWeight(key_, control.text());
         if (best && weight <= bestWeight)
@@ -224,12 +227,12 @@
     auto wait = options_.overdueAfter;
     for (auto i = 0U; i < unanswered_ && wait < options_.longestOverdueAfter; ++i)
         wait *= 2;
-    sources_[control].question
-            = Question { clock_.now() + std::min(wait, options_.longestOverdueAfter), false };
+    sources_[control].pending
+            = PendingRequest { clock_.now() + std::min(wait, options_.longestOverdueAfter), false };
     ++asked_;
 }
 
-/// @return the first blocks that the target lacks, a batch at most
+/// @return the first missing blocks of the target, at most one batch
 auto DocumentFetch::missing() const -> std::vector<catalogue::BlockId>
 {
     auto result = std::vector<catalogue::BlockId> {};
@@ -249,7 +252,7 @@
 auto DocumentFetch::onAnswer(const Address &control) -> void
 {
     auto &source = sources_[control];
-    source.question.reset();
+    source.pending.reset();
     unanswered_ = 0;
 }
 
--- a/gateway/documentfetch.h
+++ b/gateway/documentfetch.h
@@ -1,30 +1,27 @@
-// How a gateway comes by the newest configuration document: which control it asks
-// for what, and when it asks another.
+// Fetches the newest configuration document for a gateway. Decides which control to ask for which
+// data, and when to ask another control.
 //
 //   fetch.onAnnounced(control, version);
-//   for (const auto &ask : fetch.next()) send(ask);       // now, and again at nextLook()
+//   for (const auto &ask : fetch.next()) send(ask);       // now, and again at nextCheckAt()
 //   fetch.onManifest(control, reply);   fetch.onBlocks(control, reply);
 //   if (auto document = fetch.take()) putIntoForce(*document);
 //
-// First the manifest of the newest document, then the blocks that are lacking, a
-// batch at a time. One question waits at a time; when it is overdue, another
-// control is asked the same besides, and whichever answers first counts: a slow
-// answer is kept when it comes, since blocks are named by their content. A control
-// with an overdue question is not asked again before that one has ended.
+// The fetch requests the manifest of the newest document first, and then the missing blocks in
+// batches. Only one request is pending at a time. If it becomes overdue, another control is asked
+// for the same data in addition. A late answer is still used, since blocks are identified by their
+// content. A control with an overdue request is not asked again until that request has ended.
 //
-// A document whose manifest has come is finished before a newer one is begun, so
-// that a series of changes faster than the link cannot keep the gateway from all
-// of them.
+// Once the manifest of a document has arrived, the document is completed before a newer one is
+// started. Otherwise a series of changes that is faster than the link could prevent the gateway
+// from ever completing a document.
 //
-// A gateway that has no document yet waits for what a majority of the controls
-// announce, for startPatience at most: a control that was cut off from the others
-// may speak first, and the highest version of a majority is never older than one
-// that was confirmed.
+// A gateway without a document waits until a majority of the controls has announced a version, for
+// at most majorityTimeout. A control that was cut off from the others may announce first, whereas
+// the highest version of a majority is never older than one that was confirmed.
 //
-// Guarantees: the version of what take() gives rises. At most one question waits
-// at each control, and each batch is bounded, so that what a slow link carries
-// twice is bounded by batchBytes a control. Decides only: no I/O, no timer; the
-// clock is the caller's. Not thread-safe.
+// Guarantees: the versions returned by take() increase. At most one request is pending at each
+// control, and each batch is bounded, so a slow link carries at most batchBytes per control twice.
+// Makes decisions only: it does no I/O and sets no timers. Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_DOCUMENTFETCH_H
 #define FIGRACK_GATEWAY_DOCUMENTFETCH_H
@@ -46,28 +43,31 @@
 
 struct DocumentFetchOptions
 {
-    /// A question is overdue after so long, and another control is asked besides. A batch takes
-    /// 40 ms on a link of 10 Mbit/s that carries nothing else; with two controls in a row that do
-    /// not answer, a change is late by 0.6 s. Doubles with each further one until an answer comes.
+    /// A request is overdue after this time, and another control is asked in addition. A batch
+    /// takes 40 ms on an otherwise idle link of 10 Mbit/s. If two controls in a row do not answer,
+    /// a change is delayed by 0.6 s. The time doubles with each further overdue request until an
+    /// answer arrives.
     Duration overdueAfter = std::chrono::milliseconds { 200 };
     Duration longestOverdueAfter = std::chrono::milliseconds { 1600 };
-    /// Of blocks that are asked for at once: much less than a link carries in overdueAfter, and
-    /// enough that the round trips of a whole document of 300 KB are seven.
+    /// Maximum size of the blocks that are requested at once. It is much less than a link carries
+    /// within overdueAfter, and large enough that a document of 300 KB takes seven round trips.
     std::uint64_t batchBytes = std::uint64_t { 48 } << 10;
-    /// A control that could not be asked, or whose question was written off, is left out for so
-    /// long: the news that its connection broke may still be on its way.
+    /// A control that could not be asked, or whose request failed, is not asked for this time,
+    /// since the notification that its connection broke may still be pending.
     Duration failedPause = std::chrono::milliseconds { 50 };
-    /// For a majority of announcements, when there is no document yet. Connections to nine controls
-    /// are made within 30 ms unless they are down.
-    Duration startPatience = std::chrono::milliseconds { 100 };
+    /// How long a gateway without a document waits for announcements of a majority. Connections to
+    /// nine controls are established within 30 ms unless the controls are down.
+    Duration majorityTimeout = std::chrono::milliseconds { 100 };
 };
 
+/// A request for the manifest of a document.
 struct ManifestAsk
 {
     Address control;
     Revision atLeast;
 };
 
+/// A request for blocks of a document.
 struct BlocksAsk
 {
     Address control;
@@ -76,59 +76,62 @@
 
 using DocumentAsk = std::variant<ManifestAsk, BlocksAsk>;
 
-/// A whole document, and how it came.
+/// A complete document, and statistics on how it was fetched.
 struct FetchedDocument
 {
     Revision version;
     std::string text;
-    Duration took {};               ///< Since this or a newer version was first announced here.
-    std::uint32_t asked = 0;        ///< Questions sent for it.
-    std::uint32_t overdue = 0;      ///< Of them those that another control was asked besides.
-    std::uint64_t fetchedBytes = 0; ///< Of its blocks; the others were held.
+    Duration took {}; ///< Time since this or a newer version was first announced to this gateway.
+    std::uint32_t asked = 0;   ///< Number of requests that were sent for it.
+    std::uint32_t overdue = 0; ///< Number of these requests that became overdue.
+    /// Size of the blocks that were fetched; the others were already held.
+    std::uint64_t fetchedBytes = 0;
 };
 
 class DocumentFetch
 {
 public:
-    /// @param key orders the controls differently at each gateway, so that they share the work
-    /// @param clock outlives this
+    /// @param key determines the order in which this gateway asks the controls. It should differ
+    /// between gateways, so that the controls share the load
+    /// @param clock must outlive this object
     DocumentFetch(DocumentFetchOptions options, std::uint64_t key, const Clock &clock);
 
-    /// A control that is dialled; counts towards a majority.
+    /// Adds a control that the gateway connects to. It counts towards the majority.
     auto onKnown(const Address &control) -> void;
-    /// A control that is dialled no more.
+    /// Removes a control that the gateway no longer connects to.
     auto onForgotten(const Address &control) -> void;
-    /// It says something: the newest document that it holds.
+    /// Called when a control announces the newest document that it holds.
     auto onAnnounced(const Address &control, Revision version) -> void;
-    /// The connection to it broke; its answers will not come.
+    /// Called when the connection to a control broke. Its pending answer will not arrive.
     auto onLost(const Address &control) -> void;
     auto onManifest(const Address &control, const proto::ManifestReply &reply) -> void;
     auto onBlocks(const Address &control, const proto::BlocksReply &reply) -> void;
-    /// A question to it will not be answered.
+    /// Called when a request to a control has failed.
     auto onFailed(const Address &control) -> void;
 
-    /// @return what to ask now
+    /// @return the requests to send now
     auto next() -> std::vector<DocumentAsk>;
-    /// @return when next() may have more to ask though nothing was heard
-    auto nextLook() const -> std::optional<Instant>;
-    /// @return a document that is complete, once
+    /// @return when to call next() again if no event arrives before; nullopt if that is not needed
+    auto nextCheckAt() const -> std::optional<Instant>;
+    /// @return a complete document, once; nullopt if there is none
     auto take() -> std::optional<FetchedDocument>;
 
 private:
-    /// A question that waits for its answer.
-    struct Question
+    /// A request that has not been answered yet.
+    struct PendingRequest
     {
         Instant overdueAt {};
         bool isOverdue = false;
     };
+    /// What is known of a control.
     struct Source
     {
         Revision announced;
         bool hasAnnounced = false;
-        Instant notBefore {}; ///< Not asked before.
-        std::optional<Question> question;
+        Instant notBefore {}; ///< Not asked before this time.
+        std::optional<PendingRequest> pending;
     };
-    /// The document that is being completed.
+    /// The document that is being fetched.
     struct Target
     {
         Revision version;
@@ -150,12 +153,14 @@
     std::uint64_t key_;
     const Clock &clock_;
     std::map<Address, Source> sources_;
-    std::map<catalogue::BlockId, std::string> blocks_; ///< Of what is in force and of the target.
-    Revision version_;                                 ///< In force here.
+    std::map<catalogue::BlockId, std::string>
+            blocks_;   ///< Blocks of the document in force and of the target.
+    Revision version_; ///< Version in force at this gateway.
     std::optional<Target> target_;
-    std::optional<Instant> firstHeardAt_;   ///< Of any control.
-    std::optional<Instant> firstLackingAt_; ///< Of a version newer than the one in force.
-    std::uint32_t unanswered_ = 0;          ///< Questions overdue since the last answer.
+    std::optional<Instant> firstHeardAt_; ///< Time of the first announcement of any control.
+    /// When a newer version than the one in force was first announced.
+    std::optional<Instant> firstLackingAt_;
+    std::uint32_t unanswered_ = 0; ///< Requests that became overdue since the last answer.
     std::uint32_t asked_ = 0;
     std::uint32_t overdue_ = 0;
 };
--- a/gateway/fleetview.cpp
+++ b/gateway/fleetview.cpp
@@ -9,7 +9,7 @@
 namespace figrack::gateway {
 namespace {
 
-/// What a load of a model takes at least, with its order and the unload before it.
+/// Minimum time to load a model, including its order and the unload before it.
 constexpr auto shortestLoad = std::chrono::seconds { 1 };
 
 } // namespace
@@ -22,7 +22,8 @@
 auto FleetView::apply(const proto::ServingUpdate &update) -> bool
 {
     auto changed = false;
-    // The end of an incarnation first: another one may have taken its place.
+    // Apply rows of endpoints that are gone first, since another incarnation may have replaced
+    // them.
     for (const auto isGone : { true, false }) {
         for (const auto &row : update.endpoints) {
             if ((row.state == catalogue::EndpointState::Gone) == isGone)
@@ -44,7 +45,7 @@
     }
     for (const auto &load : update.loads) {
         if (auto *entry = find(load.endpoint))
-            entry->othersRunning = load.running - std::min(load.running, entry->told);
+            entry->othersRunning = load.running - std::min(load.running, entry->reportedRunning);
     }
     if (now >= nextForget_) {
         nextForget_ = now + options_.forgetGoneAfter / 4;
@@ -55,21 +56,22 @@
 
 auto FleetView::applyRow(const catalogue::EndpointRow &row) -> bool
 {
-    if (!entries_.contains(row.id) && isOver(row.id))
+    if (!entries_.contains(row.id) && isSuperseded(row.id))
         return false;
     auto [item, isNew] = entries_.try_emplace(row.id);
     auto &entry = item->second;
     if (!isNew && !catalogue::isNewer(row, entry.row))
         return false;
     const auto changed = isNew || entry.isReplaced || !row.sameAs(entry.row);
-    // A cut may delay the announcement of one that has crashed until another has its address.
+    // A network partition may delay the announcement of a crashed endpoint until another endpoint
+    // uses its address.
     const auto isDisplaced = (isNew || entry.isReplaced) && hasYoungerAt(row);
     if ((isNew || entry.isReplaced) && !isDisplaced)
         replaceOthersAt(row);
     entry.isReplaced = isDisplaced;
     entry.isUnreached = false;
     if (isNew && row.state != catalogue::EndpointState::Gone)
-        endOthers(row.id);
+        supersedeOthers(row.id);
     if (isNew)
         byService_[row.service].push_back(row.id);
     if (changed) {
@@ -88,8 +90,8 @@
     return changed;
 }
 
-/// @return true when a newer incarnation of the endpoint is in use
-auto FleetView::isOver(const EndpointId &id) const -> bool
+/// @return true if a newer incarnation of the endpoint is in use
+auto FleetView::isSuperseded(const EndpointId &id) const -> bool
 {
     const auto rowOf = [](const EndpointEntry &entry) -> const catalogue::EndpointRow & {
         return entry.row;
@@ -97,8 +99,8 @@
     return catalogue::newerIncarnation(entries_, id, rowOf) != nullptr;
 }
 
-/// The incarnation is in use: the others of the endpoint are over.
-auto FleetView::endOthers(const EndpointId &id) -> void
+/// Marks all other incarnations of the endpoint as gone, because this one is in use.
+auto FleetView::supersedeOthers(const EndpointId &id) -> void
 {
     catalogue::forEachIncarnation(entries_, id, [&](auto &item) {
         auto &row = item.second.row;
@@ -110,12 +112,13 @@
                 .with("endpoint", item.first)
                 .with("by", id)
                 .with("before", catalogue::endpointStateName(before));
-        if (onOver_)
-            onOver_(item.first, before);
+        if (onSuperseded_)
+            onSuperseded_(item.first, before);
     });
 }
 
-/// One address has one endpoint: the one of which news has come last.
+/// Marks all other endpoints at the same address as replaced: an address belongs to the endpoint
+/// that was announced last.
 auto FleetView::replaceOthersAt(const catalogue::EndpointRow &row) -> void
 {
     if (row.state == catalogue::EndpointState::Gone)
@@ -126,7 +129,7 @@
     }
 }
 
-/// @return true when an endpoint that was started later is known at the row's address
+/// @return true if an endpoint that was started later is known at the row's address
 auto FleetView::hasYoungerAt(const catalogue::EndpointRow &row) const -> bool
 {
     return std::any_of(entries_.begin(), entries_.end(), [&](const auto &item) {
@@ -155,7 +158,7 @@
 auto FleetView::takesWork(const EndpointId &id) const -> bool
 {
     const auto found = entries_.find(id);
-    return found != entries_.end() && !found->second.leaves() && !found->second.isReplaced;
+    return found != entries_.end() && !found->second.isLeaving() && !found->second.isReplaced;
 }
 
 auto FleetView::maySend(const EndpointId &id) const -> bool
@@ -170,9 +173,9 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-auto FleetView::setOnOver(OnOver listener) -> void
+auto FleetView::setOnSuperseded(OnSuperseded listener) -> void
 {
-    onOver_ = std::move(listener);
+    onSuperseded_ = std::move(listener);
 }
 
 auto FleetView::isHealthy(const EndpointEntry &entry) const -> bool
@@ -302,7 +305,7 @@
 {
     auto result = std::vector<proto::EndpointLoad> {};
     for (auto &[id, entry] : entries_) {
-        entry.told = entry.running;
+        entry.reportedRunning = entry.running;
         if (entry.running > 0)
             result.push_back({ id, entry.running });
     }
@@ -314,7 +317,7 @@
     auto result = std::vector<EndpointId> {};
     for (const auto &[id, entry] : entries_) {
         const auto isBackedOffLong = entry.backoffUntil - clock_.now() >= shortestLoad;
-        if (entry.isReplaced || entry.isUnreached || entry.leaves() || isBackedOffLong)
+        if (entry.isReplaced || entry.isUnreached || entry.isLeaving() || isBackedOffLong)
             result.push_back(id);
     }
     return result;
--- a/gateway/fleetview.h
+++ b/gateway/fleetview.h
@@ -1,13 +1,13 @@
-// What a gateway knows of the endpoints, and what it has running there itself.
+// The state of all endpoints as known to this gateway, and the requests it has running there.
 //
-//   auto view = FleetView { clock };
+//   auto view = FleetView { options, clock };
 //   if (view.apply(update)) wakeWaitingRequests();
 //   for (auto *entry : view.of(service)) ...
 //
-// Updates come from several controls, late and in any order. A row replaces
-// another of the same endpoint only when it is newer by sequence, then by order
-// version; an endpoint that is gone stays gone. Of an endpoint that starts again
-// under its name the newest incarnation is in use, and the others are gone. Not thread-safe.
+// Updates arrive from several controls, with delay and in any order. A row replaces an older row of
+// the same endpoint only if its sequence number, or else its order version, is higher. An endpoint
+// that is gone stays gone. If an endpoint restarts under the same name, its newest incarnation is
+// in use and the older ones count as gone. Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_FLEETVIEW_H
 #define FIGRACK_GATEWAY_FLEETVIEW_H
@@ -27,54 +27,62 @@
 
 namespace figrack::gateway {
 
-/// What an endpoint said last of the rate that it takes.
+/// The rate that an endpoint last announced.
 struct NamedRate
 {
-    std::optional<double> perSecond; ///< Over all gateways; absent: it takes any rate again.
+    /// From all gateways together; absent if it accepts any rate again.
+    std::optional<double> perSecond;
     Instant heardAt {};
 };
 
+/// One endpoint as known to this gateway.
 struct EndpointEntry
 {
     catalogue::EndpointRow row;
-    Instant heardAt {};              ///< When news of its latest announcement came.
-    std::uint32_t running = 0;       ///< This gateway's requests there, weighed.
-    std::uint32_t told = 0;          ///< Of those, as this gateway reported last.
-    std::uint32_t othersRunning = 0; ///< Requests of the others, as the leader told last.
-    /// @return requests in progress there, as far as known
+    Instant heardAt {};                ///< When its latest announcement was received.
+    std::uint32_t running = 0;         ///< This gateway's requests there, weighted.
+    std::uint32_t reportedRunning = 0; ///< Value of running in the last report.
+    /// Requests of other gateways, as last reported by the leader.
+    std::uint32_t othersRunning = 0;
+    /// @return number of requests known to be in progress there
     auto load() const -> std::uint32_t { return running + othersRunning; }
-    std::uint32_t failures = 0; ///< In a row; each doubles the pause.
-    Instant avoidUntil {};      ///< Not chosen before, unless nothing else is left.
-    bool isUnreached = false;   ///< The latest connection could not be made, and no news since.
-    /// Another endpoint has its address now. News of it clears this.
+    std::uint32_t failures = 0; ///< Consecutive failures; each doubles the pause.
+    Instant avoidUntil {};      ///< Not chosen before this time, unless no other endpoint is left.
+    bool isUnreached = false;   ///< The latest connection attempt failed, and no announcement has
+                                ///< arrived since.
+    /// Another endpoint uses its address now. A new announcement of this endpoint clears the flag.
     bool isReplaced = false;
-    /// What it said it does not hold, against its row, and until when that is believed.
+    /// Models and adapters that the endpoint said it does not hold although its row lists them, and
+    /// the time until which this takes precedence over the row.
     std::map<std::pair<ModelId, std::string>, Instant> missingUntil;
-    std::optional<NamedRate> rate; ///< Absent: it never named one.
-    Instant backoffUntil {};       ///< It asked this gateway for no requests before.
-    /// It said in an answer that it will end. Lasts while it lives, whatever it announces: an
-    /// announcement may have left before.
+    std::optional<NamedRate> rate; ///< Absent if it has never named a rate.
+    Instant backoffUntil {};       ///< End of the backoff that it asked of this gateway.
+    /// The endpoint stated in an answer that it is shutting down. The flag is never cleared,
+    /// because an announcement that says otherwise may have been sent earlier.
     bool isDraining = false;
-    /// @return true when it takes no new requests any more, by its announcement or an answer
-    auto leaves() const -> bool
+    /// @return true if the endpoint accepts no new requests any more, according to its announcement
+    /// or an answer
+    auto isLeaving() const -> bool
     {
         return isDraining || row.state != catalogue::EndpointState::Ready;
     }
-    /// @return true while it takes a limited rate of requests
+    /// @return true while the endpoint accepts only a limited rate of requests
     auto isRateLimited() const -> bool { return rate && rate->perSecond; }
 };
 
 struct FleetViewOptions
 {
-    /// Without an announcement for so long an endpoint is chosen last: three times the interval
-    /// at which endpoints announce themselves, and some delay.
+    /// An endpoint without an announcement for this time is chosen last. The value is three
+    /// announcement intervals plus some delay.
     Duration staleAfter = std::chrono::milliseconds { 4500 };
-    Duration forgetGoneAfter
-            = std::chrono::seconds { 60 }; ///< Late news of it may come until then.
-    Duration firstPause = std::chrono::milliseconds { 300 }; ///< After a failed connection.
+    /// Endpoints without news for this time are removed. Delayed updates about an endpoint may
+    /// arrive until then.
+    Duration forgetGoneAfter = std::chrono::seconds { 60 };
+    Duration firstPause = std::chrono::milliseconds { 300 }; ///< Pause after the first failure.
     Duration longestPause = std::chrono::seconds { 4 };
     Duration rejectedPause = std::chrono::milliseconds { 100 };
-    /// News of what an endpoint holds takes less: an announcement or the end of an order.
+    /// How long an endpoint's statement that it lacks a model takes precedence over its row. An
+    /// announcement or the end of an order updates the row within less time.
     Duration missingFor = std::chrono::milliseconds { 1500 };
 };
 
@@ -82,60 +90,66 @@
 {
 public:
     FleetView(FleetViewOptions options, const Clock &clock);
-    /// @return true when a choice may come out differently now
+    /// @return true if the choice of an endpoint may have changed
     auto apply(const proto::ServingUpdate &update) -> bool;
-    /// @return the endpoints of a service that take work; none that is draining or gone
+    /// @return the endpoints of a service that accept new requests, without those that are draining
+    /// or gone
     auto of(const ServiceId &service) -> std::vector<EndpointEntry *>;
-    /// @return true when the endpoint is known and takes work
+    /// @return true if the endpoint is known and accepts new requests
     auto takesWork(const EndpointId &id) const -> bool;
-    /// @return true when a request may be sent there now: it takes work and asked for no
-    /// backoff that lasts
+    /// @return true if a request may be sent there now: it accepts new requests and is not in
+    /// backoff
     auto maySend(const EndpointId &id) const -> bool;
     /// @return the endpoint, or nullptr
     auto find(const EndpointId &id) -> EndpointEntry *;
-    /// @return true when it neither failed nor fell silent of late
+    /// @return true if the endpoint has neither failed nor stopped announcing itself recently
     auto isHealthy(const EndpointEntry &entry) const -> bool;
     auto onSuccess(const EndpointId &id) -> void;
-    /// A connection that failed or broke: the endpoint is chosen last for a pause.
+    /// Called when a connection could not be made or broke. The endpoint is chosen last for a
+    /// pause.
     /// @param reached whether the connection had been made
     auto onFailure(const EndpointId &id, bool reached) -> void;
-    /// It did not run a request just now.
+    /// Called when the endpoint rejected a request without running it.
     auto onRejected(const EndpointId &id) -> void;
-    /// Another endpoint answered at its address.
+    /// Called when another endpoint answered at its address.
     auto onReplaced(const EndpointId &id) -> void;
-    /// It said that it does not hold the model or adapter.
+    /// Called when the endpoint said that it does not hold the model or adapter.
     auto onMissing(const EndpointId &id, const ModelId &model, const std::string &adapter) -> void;
-    /// Takes over what an endpoint says of itself in the head of an answer. A rate that it does not
-    /// name is over, unless it rejected the request, or the request had left before the rate was
-    /// last named: answers overtake one another. A backoff is never shortened.
-    /// @param sentAt when the request of that answer left
+    /// Applies what an endpoint states about itself in the head of an answer. An answer without a
+    /// rate cancels the endpoint's rate, unless it rejects the request, or the request was sent
+    /// before the rate was last named, since answers can arrive out of order. A backoff is never
+    /// shortened.
+    /// @param sentAt when the request for that answer was sent
     auto onNotice(const EndpointId &id, const catalogue::EndpointNotice &notice, Instant sentAt)
             -> void;
-    /// @return true while a backoff lasts that the endpoint asked of this gateway
+    /// @return true while the endpoint is in a backoff that it asked of this gateway
     auto isBackedOff(const EndpointEntry &entry) const -> bool;
-    /// @return endpoints whose backoff lasts
+    /// @return number of endpoints that are in backoff
     auto backedOff() const -> std::size_t;
-    /// @return endpoints that take a limited rate of requests
+    /// @return number of endpoints that accept only a limited rate of requests
     auto rateLimited() const -> std::size_t;
-    /// @return what this gateway has in progress, for its report
+    /// @return the requests that this gateway has in progress, by endpoint, for its report
     auto takeLoads() -> std::vector<proto::EndpointLoad>;
-    /// @return endpoints that serve this gateway nothing: they could not be reached of late, take
-    /// no work, or asked for a backoff that lasts longer than the shortest load elsewhere
+    /// @return endpoints that this gateway cannot use: the latest connection attempt failed, they
+    /// accept no new requests, or their backoff lasts longer than the shortest load of a model
+    /// elsewhere
     auto unreachable() const -> std::vector<EndpointId>;
     auto size() const -> std::size_t { return entries_.size(); }
-    /// @param id of an incarnation that is over @param before what it had last said of itself
-    using OnOver = std::function<void(const EndpointId &id, catalogue::EndpointState before)>;
-    /// Called when an incarnation of an endpoint is over since a newer one was heard of: what runs
-    /// there has ended with it, though its connections may not show it. Must not call the view.
-    auto setOnOver(OnOver listener) -> void;
+    /// @param id ID of the incarnation that was superseded
+    /// @param before the last state that it announced
+    using OnSuperseded = std::function<void(const EndpointId &id, catalogue::EndpointState before)>;
+    /// Sets the listener that is called when an incarnation of an endpoint is superseded by a newer
+    /// one. The requests running there have ended with it, even if their connections are still
+    /// open. The listener must not call the view.
+    auto setOnSuperseded(OnSuperseded listener) -> void;
 
 private:
     auto noteRate(EndpointEntry &entry, const catalogue::EndpointNotice &notice, Instant sentAt)
             -> void;
     auto noteBackoff(EndpointEntry &entry, Duration backoff) -> void;
     auto applyRow(const catalogue::EndpointRow &row) -> bool;
-    auto isOver(const EndpointId &id) const -> bool;
-    auto endOthers(const EndpointId &id) -> void;
+    auto isSuperseded(const EndpointId &id) const -> bool;
+    auto supersedeOthers(const EndpointId &id) -> void;
     auto hasYoungerAt(const catalogue::EndpointRow &row) const -> bool;
     auto replaceOthersAt(const catalogue::EndpointRow &row) -> void;
     auto forgetGone() -> void;
@@ -144,7 +158,7 @@
     const Clock &clock_;
     std::map<EndpointId, EndpointEntry> entries_;
     std::map<ServiceId, std::vector<EndpointId>> byService_;
-    OnOver onOver_;
+    OnSuperseded onSuperseded_;
     Instant nextForget_ {};
 };
 
--- a/gateway/forwarder.cpp
+++ b/gateway/forwarder.cpp
@@ -1,3 +1,7 @@
+// The main loop of a request, its final outcome and the log line that reports it. The loop
+// places the request at an endpoint, dispatches it there, and repeats this until a dispatch
+// settles the request or no further attempt is allowed.
+
 #include "gateway/forwarder.h"
 
 #include <utility>
@@ -12,14 +16,14 @@
 
 namespace {
 
-auto endingOf(const Refusal &refusal) -> Ending
+auto outcomeOfRefusal(const Refusal &refusal) -> RequestOutcome
 {
     const auto kind = errorKind(refusal.status);
     if (kind == ErrorKind::BadToken)
-        return Ending::Denied;
+        return RequestOutcome::Denied;
     if (kind == ErrorKind::OverLimit)
-        return Ending::OverLimit;
-    return refusal.notRun ? Ending::Refused : Ending::Failed;
+        return RequestOutcome::OverLimit;
+    return refusal.notRun ? RequestOutcome::Refused : RequestOutcome::Failed;
 }
 
 } // namespace
@@ -45,19 +49,19 @@
     } else {
         responder_.onPeerGone([this] { onCallerGone(); });
         parts_.retries.onRequest(service_);
-        co_await carry();
+        co_await dispatchUntilSettled();
     }
     report();
 }
 
-auto Forwarder::Run::carry() -> asio::awaitable<void>
+auto Forwarder::Run::dispatchUntilSettled() -> asio::awaitable<void>
 {
     while (true) {
         auto *entry = co_await place();
         if (entry == nullptr)
             co_return;
         const auto step = co_await dispatch(*entry);
-        if (step == Step::Settled || !co_await mayGoOn(step))
+        if (step == Step::Settled || !co_await mayTryAgain(step))
             co_return;
     }
 }
@@ -80,38 +84,38 @@
 {
     lastError_ = status;
     if (responder_.started()) {
-        ending_ = Ending::BrokenOff;
-        co_return; // The server cuts a stream that was not finished.
+        outcome_ = RequestOutcome::BrokenOff;
+        co_return; // The server closes the connection of an unfinished stream.
     }
     auto refusal = Refusal {};
     refusal.status = std::move(status);
     refusal.notRun = !mayHaveRun_;
     if (refusal.notRun)
-        refusal.retryAfter = comeBack_.value_or(owner_.options_.comeBack);
+        refusal.retryAfter = retryAfter_.value_or(owner_.options_.defaultRetryAfter);
     co_await refuse(std::move(refusal));
 }
 
 auto Forwarder::Run::refuse(Refusal refusal) -> asio::awaitable<void>
 {
-    if (ending_ != Ending::NoRoute)
-        ending_ = endingOf(refusal);
+    if (outcome_ != RequestOutcome::NoRoute)
+        outcome_ = outcomeOfRefusal(refusal);
     lastError_ = refusal.status;
     firstByteAt_ = parts_.clock.now();
     auto response = parts_.dialect.writeRefusal(refusal);
     finalStatus_ = response.status;
     const auto sent = co_await responder_.send(std::move(response));
     if (!sent.ok())
-        ending_ = Ending::CallerGone;
+        outcome_ = RequestOutcome::CallerGone;
 }
 
 auto Forwarder::Run::report() -> void
 {
     const auto now = parts_.clock.now();
     const auto firstByte = firstByteAt_ ? *firstByteAt_ - arrived_ : now - arrived_;
-    parts_.metrics.onRequest(ending_, firstByte, now - arrived_);
+    parts_.metrics.onRequest(outcome_, firstByte, now - arrived_);
     auto line = LogEvent { LogLevel::Info, "request" };
     line.with("id", caller_.id)
-            .with("end", endingName(ending_))
+            .with("end", requestOutcomeName(outcome_))
             .with("status", static_cast<std::int64_t>(finalStatus_));
     if (route_ != nullptr)
         line.with("route", route_->name).with("service", service_);
@@ -129,21 +133,21 @@
             .with("config", owner_.version());
     if (picked_.by != PickedBy::Nobody)
         line.with("picked", pickedByName(picked_.by));
-    if (picked_.comeBack)
-        line.with("come_back_ms", wholeMillis(*picked_.comeBack));
+    if (picked_.retryAfter)
+        line.with("come_back_ms", wholeMillis(*picked_.retryAfter));
     if (picked_.by == PickedBy::Balancer) {
         line.with("expected_ms", std::int64_t { picked_.startMs })
                 .with("beside", std::int64_t { picked_.running })
                 .with("held_ms", wholeMillis(held_))
                 .with("fetched_from", picked_.fetchFrom);
     }
-    if (lack_ != Lack::Nothing)
-        line.with("lacked", lackName(lack_));
+    if (blockedBy_ != BlockedBy::Nothing)
+        line.with("lacked", blockedByName(blockedBy_));
     if (!works_.ofAnyone.isNone())
         line.with("work", works_.ofAnyone.text());
     if (budgetSpent_)
         line.with("retries", "spent");
-    if (ending_ != Ending::Answered && !lastError_.ok())
+    if (outcome_ != RequestOutcome::Answered && !lastError_.ok())
         line.with(lastError_);
 }
 
@@ -160,9 +164,9 @@
     parts_.waiters.wakeAll();
 }
 
-auto Forwarder::setPlaceBy(Instant placeBy) -> void
+auto Forwarder::setPlacementDeadline(Instant deadline) -> void
 {
-    placeBy_ = placeBy;
+    placementDeadline_ = deadline;
     parts_.waiters.wakeAll();
 }
 
--- a/gateway/forwarder.h
+++ b/gateway/forwarder.h
@@ -1,28 +1,35 @@
-// Carries a caller's request to an endpoint and the answer back.
+// Forwards a caller's request to an endpoint and relays the answer back.
 //
-//   auto forwarder = Forwarder { parts };
+//   auto forwarder = Forwarder { options, parts };
 //   co_await forwarder.handle(request, responder);
 //
-// What may follow a dispatch that brought no answer:
+// What happens after a dispatch that returned no complete answer:
 //
-//   no byte left, or the endpoint states that it did not run it   another endpoint
-//   it may have run, nothing was given back, it may be repeated   another endpoint
-//   part of a stream was given back, the stream may be resumed    goes on elsewhere
-//   anything else                                                 given up
+//   no byte was sent, or the endpoint states that it did not run the request
+//                                                            try another endpoint
+//   it may have run, nothing was sent to the caller, and the route allows repeats
+//                                                            try another endpoint
+//   part of a stream was sent to the caller, and the stream is resumable
+//                                                            resume at another endpoint
+//   anything else                                            give up
 //
-// Where there are accounts, a caller is known by its key alone: one without an account
-// is refused at once, and so is one whose account has used up its limit, before it costs
-// an endpoint anything or counts as demand. Keys are served only while the gateway can
-// tell that none was taken away too long ago (gateway/keylease.h).
+// If the catalogue defines accounts, the API key alone identifies a caller. A caller without
+// an account, or whose account has used up its limit, is refused before the request reaches an
+// endpoint or counts as demand. Keys are accepted only while the gateway can prove that its
+// list of keys is recent enough (gateway/keylease.h).
 //
-// Work under which endpoint after endpoint ended is refused before it costs another one anything
-// (policy/quarantine.h), and is no demand for its model.
+// Work that has crashed several endpoints is refused before it reaches another endpoint
+// (policy/quarantine.h), and does not count as demand for its model.
+//
+// Guarantees:
+// - Each request gets exactly one final answer. A stream that has begun either ends completely
+//   or has its connection closed.
+// - Only complete events of a stream are forwarded, and none twice.
+// - A refusal that is marked as not run is for a request that has not run.
+// - A request that is given up is answered immediately.
+// - Retries are bounded by the shared RetryWindow and by the route's maximum attempts.
+// - If the caller disconnects, the connection to the endpoint is closed.
 //
-// Guarantees: each request ends in one final answer or, once a stream has begun,
-// in its whole end or a cut connection; only whole events of a stream are passed
-// on, none twice; a refusal that says not run is true; what is given up is
-// answered at once; repeats are bounded by the shared RetryWindow and by the
-// route's attempts. When the caller goes, the endpoint's connection is closed.
 // Not thread-safe: runs on one thread.
 
 #ifndef FIGRACK_GATEWAY_FORWARDER_H
@@ -37,9 +44,9 @@
 
 #include "core/clock.h"
 #include "core/random.h"
+#include "gateway/crashdetector.h"
 #include "gateway/demand.h"
 #include "gateway/dialect.h"
-#include "gateway/endingwatch.h"
 #include "gateway/fleetview.h"
 #include "gateway/keylease.h"
 #include "gateway/metrics.h"
@@ -54,31 +61,34 @@
 
 struct ForwarderOptions
 {
-    std::size_t maxAnswerBytes = 16U << 20; ///< Of an answer that is no stream.
-    /// Kept back of a request's time for its final answer to reach the caller.
+    /// Maximum body size of an answer that is not a stream.
+    std::size_t maxAnswerBytes = 16U << 20;
+    /// Part of a request's time that is reserved for the final answer to reach the caller.
     Duration answerMargin = std::chrono::milliseconds { 20 };
-    /// An endpoint needs so long for the first event of a stream at least: one that is placed later
-    /// has lost its caller before it begins.
-    Duration startTime = std::chrono::milliseconds { 200 };
-    /// A connection idle for longer is not used for what must not run twice: its peer may be
-    /// about to close it.
-    Duration freshEnough = std::chrono::seconds { 2 };
-    /// Retry-After when nothing better is known.
-    Duration comeBack = std::chrono::milliseconds { 300 };
-    /// After its start a gateway has a document within 0.1 to 0.2 s, as long as one control can be
-    /// reached: requests that come before wait for it.
+    /// Minimum time an endpoint needs to produce the first event of a stream. A request with less
+    /// time than this before its caller leaves is not dispatched.
+    Duration minTimeToFirstEvent = std::chrono::milliseconds { 200 };
+    /// Maximum idle time of a pooled connection for a request that must not run twice: the peer may
+    /// be about to close a connection that has been idle for longer.
+    Duration maxIdleForSingleRun = std::chrono::seconds { 2 };
+    /// Retry-After when no better estimate is known.
+    Duration defaultRetryAfter = std::chrono::milliseconds { 300 };
+    /// How long after its start the gateway holds requests until the first configuration document
+    /// arrives. This takes 0.1 to 0.2 s if at least one control can be reached.
     Duration awaitDocument = std::chrono::milliseconds { 250 };
-    /// Proof that a document's keys are current takes a round of questions among the controls more.
+    /// How long after its start the gateway holds requests until the document's keys are proved
+    /// current. The proof takes one more round of requests among the controls.
     Duration awaitKeys = std::chrono::milliseconds { 600 };
-    /// Retry-After while no configuration or no endpoint is known: after a start, endpoints are
-    /// heard of within the interval at which they announce themselves.
-    Duration comeBackWhenNew = std::chrono::milliseconds { 1200 };
-    /// After so many ends of endpoints under its work a gateway does not send a request on by
-    /// itself. The next try may be the one too many: it is its caller's to make, one at a time.
-    std::uint32_t endsWithoutRepeat = 2;
+    /// Retry-After while no configuration or no endpoint is known. After a start, the gateway
+    /// learns of all endpoints within one announcement interval.
+    Duration retryAfterAtStart = std::chrono::milliseconds { 1200 };
+    /// Number of endpoint crashes under the same work after which the gateway no longer retries a
+    /// request by itself. The next attempt may be the one that puts the work in quarantine, so it
+    /// is left to the caller, which makes one attempt at a time.
+    std::uint32_t crashLimitForRetry = 2;
 };
 
-/// What the forwarder works with. All of it outlives the Forwarder.
+/// Dependencies of the Forwarder. All of them must outlive it.
 struct ForwarderParts
 {
     boost::asio::io_context &context;
@@ -93,7 +103,7 @@
     Picker &picker;
     Random &random;
     policy::Quarantine &quarantine;
-    EndingWatch &endings;
+    CrashDetector &crashDetector;
     const KeyLease &keys;
 };
 
@@ -101,18 +111,19 @@
 {
 public:
     Forwarder(ForwarderOptions options, ForwarderParts parts);
-    /// Puts a configuration into force for the requests that come from now on.
+    /// Puts a configuration into force for all later requests.
     auto setCatalogue(std::shared_ptr<const catalogue::Catalogue> catalogue) -> void;
-    /// @return the version in force; 0 before the first
+    /// @return the configuration version in force; 0 before the first one
     auto version() const -> Revision;
-    /// From now on new requests are refused as not run.
+    /// Refuses all later requests as not run.
     auto refuseNew() -> void { refusing_ = true; }
-    /// The process ends soon: a request that no endpoint can take by then is refused at once.
-    auto setPlaceBy(Instant placeBy) -> void;
+    /// Sets the deadline for dispatches before the process ends. A request that no endpoint can
+    /// take by then is refused immediately.
+    auto setPlacementDeadline(Instant deadline) -> void;
     auto handle(const http::Request &request, http::Responder &responder)
             -> boost::asio::awaitable<void>;
-    /// Ends the dispatches to an endpoint that is known to run no more; each goes on elsewhere
-    /// where its route allows that.
+    /// Cancels the dispatches to an endpoint that is known to have ended. Each request is retried
+    /// at another endpoint if its route allows that.
     auto endDispatches(const EndpointId &endpoint) -> void;
     /// @return the catalogue in force, or nullptr
     auto catalogue() const -> const catalogue::Catalogue *;
@@ -123,10 +134,13 @@
     ForwarderOptions options_;
     ForwarderParts parts_;
     std::shared_ptr<const catalogue::RouteTable> routes_;
-    std::shared_ptr<const catalogue::AccountTable> accounts_; ///< Of the same catalogue.
+    /// From the same catalogue as routes_.
+    std::shared_ptr<const catalogue::AccountTable> accounts_;
     const Instant startedAt_;
-    std::multimap<EndpointId, std::shared_ptr<http::Canceller>> dispatches_; ///< Under way.
-    Instant placeBy_ = Instant::max(); ///< Nothing waits for an endpoint beyond it.
+    /// Dispatches in progress.
+    std::multimap<EndpointId, std::shared_ptr<http::Canceller>> dispatches_;
+    /// No request waits for an endpoint after this time.
+    Instant placementDeadline_ = Instant::max();
     bool refusing_ = false;
 };
 
--- a/gateway/forwarderadmission.cpp
+++ b/gateway/forwarderadmission.cpp
@@ -1,4 +1,5 @@
-// Reads a request and decides whether it may be carried at all.
+// Admission of a request: reads it, finds its route and account, and decides whether it may be
+// forwarded at all.
 
 #include <utility>
 
@@ -26,11 +27,11 @@
 {
     if (!routes_) {
         return Refusal { makeError(ErrorKind::NotCurrent, "gateway"), true,
-                         owner_.options_.comeBackWhenNew };
+                         owner_.options_.retryAfterAtStart };
     }
     if (owner_.refusing_) {
         return Refusal { makeError(ErrorKind::Draining, "gateway"), true,
-                         owner_.options_.comeBack };
+                         owner_.options_.defaultRetryAfter };
     }
     auto read = parts_.dialect.readRequest(request_);
     if (!read.ok())
@@ -38,7 +39,7 @@
     caller_ = std::move(*read);
     route_ = routes_->find(caller_.host, caller_.path);
     if (route_ == nullptr) {
-        ending_ = Ending::NoRoute;
+        outcome_ = RequestOutcome::NoRoute;
         return Refusal { makeError(ErrorKind::UnknownService,
                                    "host=" + caller_.host + " path=" + caller_.path),
                          true, std::nullopt };
@@ -51,14 +52,15 @@
     deadline_ = arrived_ + limit - owner_.options_.answerMargin;
     startBy_ = deadline_;
     if (route_->leaveAfter > Duration::zero())
-        startBy_ = std::min(startBy_, arrived_ + route_->leaveAfter - owner_.options_.startTime);
+        startBy_ = std::min(startBy_,
+                            arrived_ + route_->leaveAfter - owner_.options_.minTimeToFirstEvent);
     const auto *service = routes_->catalogue().find(service_);
     engine_ = service != nullptr && service->engine ? &*service->engine : nullptr;
     lastEvent_ = caller_.resumeAfter;
     works_ = catalogue::workIdsOf({ request_.method, caller_.host, caller_.path, request_.query,
                                     caller_.account, request_.body });
     if (engine_ != nullptr && !caller_.model.empty())
-        makeWish();
+        setCriteria();
     return std::nullopt;
 }
 
@@ -73,13 +75,13 @@
         caller_.account = account_->id.value();
     if (route_->isPublic || account_ != nullptr)
         return std::nullopt;
-    // Neither that a key holds nor that it does not can be told without proof.
+    // Without proof the gateway can tell neither that a key is valid nor that it is not.
     if (!isCurrent) {
         const auto age
                 = std::chrono::duration_cast<std::chrono::milliseconds>(parts_.keys.age()).count();
         return Refusal { makeError(ErrorKind::NotCurrent,
                                    "keys proof_age_ms=" + std::to_string(age)),
-                         true, owner_.options_.comeBack };
+                         true, owner_.options_.defaultRetryAfter };
     }
     const auto what = caller_.key.empty() ? "key=missing" : "key=unknown";
     return Refusal { makeError(ErrorKind::BadToken, what), true, std::nullopt };
@@ -104,13 +106,13 @@
 auto Forwarder::Run::refuseOverLimit() -> asio::awaitable<bool>
 {
     auto charge = this->charge();
-    if (!charge || std::exchange(hasAskedRoom_, true))
+    if (!charge || std::exchange(hasCheckedLimit_, true))
         co_return false;
     const auto roomIn = co_await parts_.picker.roomIn(*std::move(charge), works_);
     if (!roomIn)
         co_return false;
-    comeBack_ = roomIn;
-    lack_ = Lack::Limit;
+    retryAfter_ = roomIn;
+    blockedBy_ = BlockedBy::Limit;
     auto error = overLimitError();
     co_await giveUp(std::move(error));
     co_return true;
@@ -127,17 +129,18 @@
                              + std::to_string(static_cast<std::uint64_t>(charge->limit.perSecond)));
 }
 
-auto Forwarder::Run::makeWish() -> void
+auto Forwarder::Run::setCriteria() -> void
 {
     target_ = DemandTarget { service_, caller_.model, caller_.adapter };
-    wish_.model = caller_.model;
-    wish_.adapter = caller_.adapter;
-    // The last part is the request's own; the one before it is what others share most of.
+    criteria_.model = caller_.model;
+    criteria_.adapter = caller_.adapter;
+    // The last part belongs to this request alone; the part before it is the longest prefix that
+    // other requests may share.
     const auto parts = caller_.prompt.size();
     const auto shared = parts >= 2 ? caller_.prompt[parts - 2].id : 0;
-    wish_.affinity = mixHash(std::hash<std::string> {}(caller_.model.value()), shared);
+    criteria_.affinity = mixHash(std::hash<std::string> {}(caller_.model.value()), shared);
     if (!caller_.adapter.empty())
-        wish_.affinity = std::hash<std::string> {}(caller_.model.value() + caller_.adapter);
+        criteria_.affinity = std::hash<std::string> {}(caller_.model.value() + caller_.adapter);
 }
 
 auto Forwarder::Run::verdict() const -> policy::Verdict
@@ -150,7 +153,7 @@
     const auto now = verdict();
     if (now.standing != policy::Standing::Quarantined)
         return std::nullopt;
-    comeBack_ = std::chrono::milliseconds { now.releaseIn };
+    retryAfter_ = std::chrono::milliseconds { now.releaseIn };
     parts_.metrics.onQuarantined();
     return quarantinedError(now.ends);
 }
--- a/gateway/forwarderdispatch.cpp
+++ b/gateway/forwarderdispatch.cpp
@@ -1,4 +1,4 @@
-// Sends a request to an endpoint, and notes what that tells of the endpoint.
+// Sends a request to an endpoint and records what the result says about the endpoint.
 
 #include <algorithm>
 #include <utility>
@@ -13,17 +13,18 @@
 
 namespace {
 
-/// Dispatches of one request whose connection could not be made; each costs a round trip or the
-/// connect timeout, and after so many the fault is rarely the endpoints'.
+/// Maximum number of dispatches of one request whose connection could not be made. Each costs a
+/// round trip or the connect timeout, and after this many the endpoints are rarely the cause.
 constexpr auto maxUnsent = 4;
-/// Prompt tokens that weigh like one request in progress: some 50 ms of reading.
+/// Number of prompt tokens that count like one request in progress; reading them takes about 50 ms.
 constexpr auto tokensPerLoad = std::uint64_t { 2000 };
 constexpr auto maxPromptTokens = std::uint64_t { 1'000'000 };
-/// Longest wait for the rest of an answer that is thrown away, to keep its connection.
+/// Longest time to wait for each further part of an answer that is discarded so that its connection
+/// can be reused.
 constexpr auto discardTime = std::chrono::milliseconds { 200 };
 
-/// @return what a request counts towards its endpoint's load: a prompt that is read takes the place
-/// of tokens of all streams beside it
+/// @return what a request contributes to its endpoint's load: while the endpoint reads a prompt, it
+/// produces fewer tokens for all other streams
 auto loadWeight(std::uint64_t promptTokens) -> std::uint32_t
 {
     return 1 + static_cast<std::uint32_t>(std::min(promptTokens, maxPromptTokens) / tokensPerLoad);
@@ -31,10 +32,10 @@
 
 } // namespace
 
-auto Forwarder::Run::mayGoOn(Step step) -> asio::awaitable<bool>
+auto Forwarder::Run::mayTryAgain(Step step) -> asio::awaitable<bool>
 {
     if (callerGone_) {
-        ending_ = Ending::CallerGone;
+        outcome_ = RequestOutcome::CallerGone;
         co_return false;
     }
     if (step == Step::Broken)
@@ -45,20 +46,20 @@
     const auto inCount = ran_ < route_->maxAttempts && unsent_ < maxUnsent;
     auto mayTry = mayRepeat && mayResume && inTime && inCount;
     if (mayTry && step == Step::Broken)
-        mayTry = !co_await endsTooMany() && !callerGone_;
-    if (mayTry && (sent_ == 0 || takeRepeat()))
+        mayTry = !co_await hasTooManyCrashes() && !callerGone_;
+    if (mayTry && (sent_ == 0 || takeRetry()))
         co_return true;
     co_await giveUp(lastError_);
     co_return false;
 }
 
-auto Forwarder::Run::endsTooMany() -> asio::awaitable<bool>
+auto Forwarder::Run::hasTooManyCrashes() -> asio::awaitable<bool>
 {
-    static_cast<void>(co_await parts_.endings.hasEnded(endpoint_));
-    co_return verdict().ends >= owner_.options_.endsWithoutRepeat;
+    static_cast<void>(co_await parts_.crashDetector.hasCrashed(endpoint_));
+    co_return verdict().ends >= owner_.options_.crashLimitForRetry;
 }
 
-auto Forwarder::Run::takeRepeat() -> bool
+auto Forwarder::Run::takeRetry() -> bool
 {
     const auto allowed = parts_.retries.take(service_);
     if (!allowed)
@@ -130,10 +131,10 @@
     out.headers = parts_.dialect.writeDispatch(caller_, terms);
     out.body = request_.body;
     if (!route_->mayRepeat())
-        out.maxIdleAge = owner_.options_.freshEnough;
+        out.maxIdleAge = owner_.options_.maxIdleForSingleRun;
     out.match = { parts_.dialect.answerIdHeader, caller_.id.value() };
     out.canceller = canceller_;
-    // The endpoint may have asked for a backoff while the connection was made.
+    // The endpoint may have asked for a backoff while the connection was being made.
     out.mayStart = [this, id = entry.row.id] { return parts_.view.maySend(id); };
     return out;
 }
@@ -175,7 +176,7 @@
     const auto step = isStream ? co_await relayStream(*stream) : co_await relayWhole(*stream);
     if (step == Step::Settled) {
         parts_.view.onSuccess(id);
-        if (ending_ == Ending::Answered && status_ < 500)
+        if (outcome_ == RequestOutcome::Answered && status_ < 500)
             noteCompleted();
     } else if (!callerGone_ && status_ < 500) {
         noteFailure(id, lastError_, true);
@@ -212,8 +213,8 @@
             .with("sent", std::int64_t { sent_ });
     if (notice.isOther)
         parts_.view.onReplaced(id);
-    else if (notice.lacksModel && !wish_.model.empty())
-        parts_.view.onMissing(id, wish_.model, wish_.adapter);
+    else if (notice.lacksModel && !criteria_.model.empty())
+        parts_.view.onMissing(id, criteria_.model, criteria_.adapter);
     else
         parts_.view.onRejected(id);
 }
@@ -221,7 +222,7 @@
 auto Forwarder::Run::noteFailure(const EndpointId &id, const absl::Status &status, bool reached)
         -> void
 {
-    // Running out of this request's own time says little about the endpoint.
+    // A timeout of this request alone says little about the endpoint.
     if (callerGone_ || (reached && errorKind(status) == ErrorKind::Timeout))
         return;
     parts_.view.onFailure(id, reached);
@@ -234,13 +235,13 @@
     if (callerGone_ || errorKind(status) == ErrorKind::Timeout)
         return;
     const auto account = std::hash<std::string> {}(caller_.account);
-    parts_.endings.note(id, { works_, account, caller_.id, hasBegun });
+    parts_.crashDetector.note(id, { works_, account, caller_.id, hasBegun });
 }
 
 auto Forwarder::Run::noteCompleted() -> void
 {
     if (parts_.quarantine.onCompleted(works_, policy::millisOf(parts_.clock.now())))
-        parts_.endings.onAcquitted(works_);
+        parts_.crashDetector.onCleared(works_);
 }
 
 auto Forwarder::Run::discard(http::ClientStream &stream) -> asio::awaitable<void>
--- a/gateway/forwarderplacing.cpp
+++ b/gateway/forwarderplacing.cpp
@@ -1,4 +1,7 @@
-// Finds the endpoint that a request goes to, or says what lacks.
+// Finds the endpoint for a request, or determines what prevents the request from running.
+//
+// A request that finds no endpoint either waits and looks again, or is refused immediately if the
+// missing model, adapter, place or rate cannot become available in time.
 
 #include <algorithm>
 
@@ -13,22 +16,24 @@
 
 namespace {
 
-/// What a load takes beyond its own time: demand to the leader, the order, the news of its end,
-/// and the unload before it.
+/// Time that a model load takes in addition to the load itself: the demand report to the leader,
+/// the order, the unload before the load, and the announcement that the load has finished.
 constexpr auto swapOverhead = std::chrono::milliseconds { 700 };
-/// As above when the weights come from the store, whose loads may queue.
+/// The same for weights that come from the store, where loads may queue.
 constexpr auto storeOverhead = std::chrono::milliseconds { 1500 };
-/// An adapter takes some milliseconds and an order.
+/// Time to load an adapter: the order plus a few milliseconds.
 constexpr auto adapterLoad = std::chrono::milliseconds { 150 };
-/// A waiting request looks again after so long, also when nobody woke it.
-constexpr auto lookAgain = std::chrono::milliseconds { 250 };
-/// A request that found no place asks again after so long: of some dozens of places that are taken
-/// for a second or two one is given up about as often.
-constexpr auto lookForPlace = std::chrono::milliseconds { 50 };
-/// Part of a route's start target that a request waits for a place; the rest is for its prompt.
-constexpr auto placeShare = 0.5;
-/// Those that are told to come back after a backoff do so over this long.
-constexpr auto returnSpread = std::chrono::milliseconds { 500 };
+/// A waiting request looks for an endpoint again after this time, even if it was not woken.
+constexpr auto recheckInterval = std::chrono::milliseconds { 250 };
+/// A request that found no free place asks again after this time. Of a few dozen places that are
+/// each occupied for one to two seconds, one becomes free about this often.
+constexpr auto placeRecheckInterval = std::chrono::milliseconds { 50 };
+/// Fraction of a route's start target that a request may wait for a place. The rest is for reading
+/// its prompt.
+constexpr auto placeWaitShare = 0.5;
+/// Range of the random time that is added to Retry-After during a backoff, so that callers do not
+/// all return at once.
+constexpr auto retryAfterJitter = std::chrono::milliseconds { 500 };
 constexpr auto longestAvoidPause = std::chrono::milliseconds { 2000 };
 
 } // namespace
@@ -37,69 +42,73 @@
 {
     while (true) {
         if (callerGone_) {
-            ending_ = Ending::CallerGone;
+            outcome_ = RequestOutcome::CallerGone;
             co_return nullptr;
         }
-        // Endpoints may have ended under another try of it while this one waited.
+        // Other attempts of the same work may have crashed endpoints while this one waited.
         if (auto status = quarantineRefusal()) {
             co_await giveUp(std::move(*status));
             co_return nullptr;
         }
-        const auto lack = co_await pick();
-        if (lack == Lack::Nothing && callerGone_)
+        const auto blockedBy = co_await pick();
+        if (blockedBy == BlockedBy::Nothing && callerGone_)
             continue;
-        if (lack == Lack::Limit || lack == Lack::Counter) {
-            lack_ = lack;
-            comeBack_ = picked_.comeBack;
-            auto error = lack == Lack::Limit ? overLimitError() : lackError(lack);
+        if (blockedBy == BlockedBy::Limit || blockedBy == BlockedBy::Counter) {
+            blockedBy_ = blockedBy;
+            retryAfter_ = picked_.retryAfter;
+            auto error = blockedBy == BlockedBy::Limit ? overLimitError() : blockedError(blockedBy);
             co_await giveUp(std::move(error));
             co_return nullptr;
         }
-        const auto mayCauseLoad
-                = lack == Lack::Model || lack == Lack::Adapter || lack == Lack::Backoff;
+        const auto mayCauseLoad = blockedBy == BlockedBy::Model || blockedBy == BlockedBy::Adapter
+                || blockedBy == BlockedBy::Backoff;
         if (mayCauseLoad && co_await refuseOverLimit())
             co_return nullptr;
         if (callerGone_)
             continue;
         noteDemand();
-        if (lack == Lack::Nothing) {
+        if (blockedBy == BlockedBy::Nothing) {
             finishWaiting();
             co_return parts_.view.find(picked_.endpoint);
         }
-        lack_ = lack;
-        const auto isTurnedAway = lack == Lack::Places || lack == Lack::Trial || lack == Lack::Rate;
-        const auto patience = isTurnedAway ? patienceForPlace(lack) : patienceFor(lack);
-        if (!patience) {
-            // Suspected work is no reason to load its model anywhere else.
-            if (!target_.model.empty() && lack != Lack::Endpoint && lack != Lack::Trial)
+        blockedBy_ = blockedBy;
+        const auto isDeclined = blockedBy == BlockedBy::Places || blockedBy == BlockedBy::Trial
+                || blockedBy == BlockedBy::Rate;
+        const auto waitTime = isDeclined ? waitTimeForPlace(blockedBy) : waitTimeFor(blockedBy);
+        if (!waitTime) {
+            // Suspected work must not cause its model to be loaded elsewhere.
+            if (!target_.model.empty() && blockedBy != BlockedBy::Endpoint
+                && blockedBy != BlockedBy::Trial)
                 parts_.demand.onRefused(target_);
-            // Named: g++ 12 destroys a conditional value within a co_await expression twice.
-            auto error = lack == Lack::Trial ? quarantinedError(verdict().ends) : lackError(lack);
+            // A named variable, because g++ 12 destroys the result of a conditional expression
+            // twice when it is part of a co_await expression.
+            auto error = blockedBy == BlockedBy::Trial ? quarantinedError(verdict().ends)
+                                                       : blockedError(blockedBy);
             co_await giveUp(std::move(error));
             co_return nullptr;
         }
-        if (!isTurnedAway)
+        if (!isDeclined)
             beginWaiting();
-        co_await parts_.waiters.wait(*patience);
-        forgiveRejections();
+        co_await parts_.waiters.wait(*waitTime);
+        clearExpiredAvoidance();
     }
 }
 
-auto Forwarder::Run::lackError(Lack lack) -> absl::Status
+auto Forwarder::Run::blockedError(BlockedBy blockedBy) -> absl::Status
 {
-    const auto kind = lack == Lack::Counter ? ErrorKind::NoQuorum : ErrorKind::NoCapacity;
-    return makeError(kind, "lack=" + std::string { lackName(lack) });
+    const auto kind = blockedBy == BlockedBy::Counter ? ErrorKind::NoQuorum : ErrorKind::NoCapacity;
+    return makeError(kind, "lack=" + std::string { blockedByName(blockedBy) });
 }
 
-auto Forwarder::Run::pick() -> asio::awaitable<Lack>
+auto Forwarder::Run::pick() -> asio::awaitable<BlockedBy>
 {
     const auto isHealthy = [&](const EndpointEntry &entry) { return parts_.view.isHealthy(entry); };
     while (true) {
-        wish_.now = parts_.clock.now();
-        const auto able = ableEndpoints(parts_.view.of(service_), wish_, isHealthy);
+        criteria_.now = parts_.clock.now();
+        const auto able = ableEndpoints(parts_.view.of(service_), criteria_, isHealthy);
         backoffUntil_ = able.backoffUntil;
         if (able.entries.empty())
-            co_return able.lack;
+            co_return able.blockedBy;
         auto terms = pickTerms(service_, caller_, timeLeft());
         if (engine_ != nullptr) {
             terms.fetchTokensPerMs = engine_->fetchTokensPerMs;
@@ -111,22 +120,22 @@
         terms.gapTarget = route_->gapTarget;
         terms.works = works_;
         terms.charge = charge();
-        auto picked = co_await parts_.picker.pick(able.entries, wish_, terms);
+        auto picked = co_await parts_.picker.pick(able.entries, criteria_, terms);
         picked_ = std::move(picked);
-        if (picked_.comeBack)
-            co_return picked_.lack;
+        if (picked_.retryAfter)
+            co_return picked_.blockedBy;
         co_await hold();
-        // It may have left, or asked for a backoff, while the balancer was asked and the request
-        // held.
+        // The endpoint may have left, or asked for a backoff, while the balancer was asked or the
+        // request was delayed.
         if (callerGone_ || parts_.view.maySend(picked_.endpoint))
-            co_return Lack::Nothing;
+            co_return BlockedBy::Nothing;
         picked_.booking = {};
     }
 }
 
 auto Forwarder::Run::hold() -> asio::awaitable<void>
 {
-    const auto left = std::min(startBy_, owner_.placeBy_) - parts_.clock.now();
+    const auto left = std::min(startBy_, owner_.placementDeadline_) - parts_.clock.now();
     const auto duration = std::min(picked_.hold, left);
     if (callerGone_ || duration <= Duration::zero())
         co_return;
@@ -136,61 +145,63 @@
     co_await holdTimer_.async_wait(asio::redirect_error(asio::use_awaitable, code));
 }
 
-auto Forwarder::Run::patienceForPlace(Lack lack) -> std::optional<Duration>
+auto Forwarder::Run::waitTimeForPlace(BlockedBy blockedBy) -> std::optional<Duration>
 {
     const auto now = parts_.clock.now();
-    comeBack_ = picked_.comeBack;
-    const auto spare = std::chrono::duration_cast<Duration>(route_->startTarget * placeShare);
-    const auto limit = std::min({ arrived_ + spare, startBy_, owner_.placeBy_ });
+    retryAfter_ = picked_.retryAfter;
+    const auto spare = std::chrono::duration_cast<Duration>(route_->startTarget * placeWaitShare);
+    const auto limit = std::min({ arrived_ + spare, startBy_, owner_.placementDeadline_ });
     if (now >= limit)
         return std::nullopt;
-    // Places are given up at any time; when a rate allows the next request is known.
-    if (lack == Lack::Rate)
-        return now + *comeBack_ <= limit ? comeBack_ : std::nullopt;
-    return std::min<Duration>(lookForPlace, limit - now);
+    // A place may become free at any time, whereas the time at which a rate allows the next request
+    // is known.
+    if (blockedBy == BlockedBy::Rate)
+        return now + *retryAfter_ <= limit ? retryAfter_ : std::nullopt;
+    return std::min<Duration>(placeRecheckInterval, limit - now);
 }
 
-auto Forwarder::Run::patienceFor(Lack lack) -> std::optional<Duration>
+auto Forwarder::Run::waitTimeFor(BlockedBy blockedBy) -> std::optional<Duration>
 {
     const auto now = parts_.clock.now();
-    const auto ready = readyAt(lack);
+    const auto ready = readyAt(blockedBy);
     if (!ready && parts_.view.of(service_).empty())
-        comeBack_ = owner_.options_.comeBackWhenNew;
+        retryAfter_ = owner_.options_.retryAfterAtStart;
     if (!ready)
         return std::nullopt;
-    comeBack_ = std::max<Duration>(*ready - now, owner_.options_.comeBack);
-    if (lack == Lack::Backoff) {
-        // A load elsewhere that is overdue may still come long before the end of the backoff.
-        comeBack_ = std::min(*comeBack_, expectedLoad(lack).value_or(*comeBack_));
-        *comeBack_ += std::chrono::duration_cast<Duration>(returnSpread * parts_.random.unit());
+    retryAfter_ = std::max<Duration>(*ready - now, owner_.options_.defaultRetryAfter);
+    if (blockedBy == BlockedBy::Backoff) {
+        // A load elsewhere that is overdue may still finish long before the backoff ends.
+        retryAfter_ = std::min(*retryAfter_, expectedLoad(blockedBy).value_or(*retryAfter_));
+        *retryAfter_
+                += std::chrono::duration_cast<Duration>(retryAfterJitter * parts_.random.unit());
     }
-    const auto limit = std::min(startBy_, owner_.placeBy_);
+    const auto limit = std::min(startBy_, owner_.placementDeadline_);
     if (*ready >= limit || now >= limit)
         return std::nullopt;
-    return std::min<Duration>(lookAgain, limit - now);
+    return std::min<Duration>(recheckInterval, limit - now);
 }
 
-auto Forwarder::Run::readyAt(Lack lack) -> std::optional<Instant>
+auto Forwarder::Run::readyAt(BlockedBy blockedBy) -> std::optional<Instant>
 {
     const auto now = parts_.clock.now();
-    const auto load = expectedLoad(lack);
-    const auto since = waiting_ ? parts_.demand.lackingSince(target_) : now;
-    if (lack != Lack::Backoff)
+    const auto load = expectedLoad(blockedBy);
+    const auto since = waiting_ ? parts_.demand.waitingSince(target_) : now;
+    if (blockedBy != BlockedBy::Backoff)
         return load ? std::optional { std::max(since + *load, now) } : std::nullopt;
-    // A load elsewhere that is overdue may never come; the end of the backoff does.
+    // A load elsewhere that is overdue may never finish, but the backoff certainly ends.
     const auto isDue = load && since + *load > now;
     return isDue ? std::min(since + *load, backoffUntil_) : backoffUntil_;
 }
 
-auto Forwarder::Run::expectedLoad(Lack lack) -> std::optional<Duration>
+auto Forwarder::Run::expectedLoad(BlockedBy blockedBy) -> std::optional<Duration>
 {
-    if (lack == Lack::Adapter)
+    if (blockedBy == BlockedBy::Adapter)
         return adapterLoad;
-    const auto *model = engine_ == nullptr ? nullptr : engine_->find(wish_.model);
-    const auto isToBeLoaded = lack == Lack::Model || lack == Lack::Backoff;
+    const auto *model = engine_ == nullptr ? nullptr : engine_->find(criteria_.model);
+    const auto isToBeLoaded = blockedBy == BlockedBy::Model || blockedBy == BlockedBy::Backoff;
     if (!isToBeLoaded || model == nullptr)
         return std::nullopt;
-    auto hasHost = lack == Lack::Model;
+    auto hasHost = blockedBy == BlockedBy::Model;
     for (const auto *entry : parts_.view.of(service_)) {
         if (parts_.view.isBackedOff(*entry))
             continue;
@@ -208,15 +219,15 @@
 
 auto Forwarder::Run::avoid(const EndpointId &id) -> void
 {
-    wish_.avoided.insert(id);
+    criteria_.avoided.insert(id);
     avoidPause_ = std::min<Duration>(avoidPause_ * 2, longestAvoidPause);
     avoidUntil_ = parts_.clock.now() + avoidPause_;
 }
 
-auto Forwarder::Run::forgiveRejections() -> void
+auto Forwarder::Run::clearExpiredAvoidance() -> void
 {
     if (!mayHaveRun_ && parts_.clock.now() >= avoidUntil_)
-        wish_.avoided.clear();
+        criteria_.avoided.clear();
 }
 
 auto Forwarder::Run::noteDemand() -> void
@@ -230,13 +241,13 @@
     if (waiting_ || target_.model.empty())
         return;
     waiting_ = true;
-    parts_.demand.onLack(target_);
+    parts_.demand.onWaitBegin(target_);
 }
 
 auto Forwarder::Run::finishWaiting() -> void
 {
     if (std::exchange(waiting_, false))
-        parts_.demand.onLackEnd(target_);
+        parts_.demand.onWaitEnd(target_);
 }
 
 } // namespace figrack::gateway
--- a/gateway/forwarderrelay.cpp
+++ b/gateway/forwarderrelay.cpp
@@ -1,4 +1,6 @@
-// Gives an endpoint's answer to the caller.
+// Relays an endpoint's answer to the caller. A streamed answer is split into server-sent events,
+// and only complete events that the caller has not received yet are forwarded. Any other answer
+// is read completely before it is sent.
 
 #include <algorithm>
 #include <utility>
@@ -27,21 +29,21 @@
             co_return Step::Broken;
         }
     }
-    // The endpoint failed and said so. Where the route allows it, another may do better.
+    // The endpoint reported a failure. If the route allows it, another endpoint is tried.
     const auto isFault = status_ >= 500 && status_ != 504;
     auto answer = http::Response { status_, endToEnd(stream.headers()), std::move(body) };
     const auto mayTryAnother
             = route_->mayRepeat() && ran_ < route_->maxAttempts && parts_.clock.now() < deadline_;
-    if (isFault && mayTryAnother && takeRepeat())
-        co_return co_await repeatFault(std::move(answer));
+    if (isFault && mayTryAnother && takeRetry())
+        co_return co_await retryAfterFault(std::move(answer));
     co_return co_await sendWhole(std::move(answer));
 }
 
-auto Forwarder::Run::repeatFault(http::Response failure) -> asio::awaitable<Step>
+auto Forwarder::Run::retryAfterFault(http::Response failure) -> asio::awaitable<Step>
 {
     avoid(endpoint_);
-    const auto lack = co_await pick();
-    auto *entry = lack == Lack::Nothing ? parts_.view.find(picked_.endpoint) : nullptr;
+    const auto blockedBy = co_await pick();
+    auto *entry = blockedBy == BlockedBy::Nothing ? parts_.view.find(picked_.endpoint) : nullptr;
     if (entry != nullptr && !callerGone_ && co_await dispatch(*entry) == Step::Settled)
         co_return Step::Settled;
     if (callerGone_)
@@ -54,7 +56,7 @@
     firstByteAt_ = parts_.clock.now();
     finalStatus_ = answer.status;
     const auto sent = co_await responder_.send(std::move(answer));
-    ending_ = sent.ok() ? Ending::Answered : Ending::CallerGone;
+    outcome_ = sent.ok() ? RequestOutcome::Answered : RequestOutcome::CallerGone;
     co_return Step::Settled;
 }
 
@@ -74,22 +76,23 @@
             lastError_ = events.status();
             co_return Step::Broken;
         }
-        if (auto step = co_await giveEvents(*events, stream))
+        if (auto step = co_await forwardEvents(*events, stream))
             co_return *step;
     }
     if (splitter.pending() > 0) {
         lastError_ = makeError(ErrorKind::EndpointFailed, "stream ends within an event");
         co_return Step::Broken;
     }
-    if (!co_await begin(stream) || !(co_await responder_.finish()).ok())
-        ending_ = Ending::CallerGone;
+    if (!co_await startResponse(stream) || !(co_await responder_.finish()).ok())
+        outcome_ = RequestOutcome::CallerGone;
     else
-        ending_ = Ending::Answered;
+        outcome_ = RequestOutcome::Answered;
     co_return Step::Settled;
 }
 
-auto Forwarder::Run::giveEvents(const std::vector<endpoint::SseEvent> &events,
-                                http::ClientStream &stream) -> asio::awaitable<std::optional<Step>>
+auto Forwarder::Run::forwardEvents(const std::vector<endpoint::SseEvent> &events,
+                                   http::ClientStream &stream)
+        -> asio::awaitable<std::optional<Step>>
 {
     auto bytes = std::string {};
     for (const auto &event : events) {
@@ -103,8 +106,8 @@
     if (bytes.empty())
         co_return std::nullopt;
     noteEvents();
-    if (!co_await begin(stream) || !(co_await responder_.write(std::move(bytes))).ok()) {
-        ending_ = Ending::CallerGone;
+    if (!co_await startResponse(stream) || !(co_await responder_.write(std::move(bytes))).ok()) {
+        outcome_ = RequestOutcome::CallerGone;
         co_return Step::Settled;
     }
     co_return std::nullopt;
@@ -124,13 +127,13 @@
     const auto gapTarget = route_->gapTarget;
     const auto beganLate = !firstByteAt_ && now - sentAt_ > route_->startTarget;
     const auto pausedLong = gapTarget > Duration::zero() && longestGap_ > gapTarget;
-    if (target_.model.empty() || lateTold_ || !(beganLate || pausedLong))
+    if (target_.model.empty() || lateReported_ || !(beganLate || pausedLong))
         return;
-    lateTold_ = true;
+    lateReported_ = true;
     parts_.demand.onLate(target_);
 }
 
-auto Forwarder::Run::begin(http::ClientStream &stream) -> asio::awaitable<bool>
+auto Forwarder::Run::startResponse(http::ClientStream &stream) -> asio::awaitable<bool>
 {
     if (responder_.started())
         co_return true;
--- a/gateway/forwarderrun.h
+++ b/gateway/forwarderrun.h
@@ -1,10 +1,10 @@
-// One request on its way, alive in the server's coroutine for as long as the request.
+// State of one request in the Forwarder. Lives in the server's coroutine as long as the request.
 //
-// It goes round placing, dispatch and relay until one of them settles the request.
+// The request repeats placement, dispatch and relay until one of these steps settles it.
 //
-// A stream's head goes out with its first whole event and not before: until then
-// nothing has been given to the caller, and a dispatch that breaks can still be
-// followed by another where the route allows it.
+// The head of a stream is sent to the caller together with the first complete event. Until then
+// the caller has received nothing, so a dispatch that breaks off can still be followed by
+// another one if the route allows it.
 //
 // Internal to the forwarder (gateway/forwarder.h).
 
@@ -24,7 +24,8 @@
 
 namespace figrack::gateway {
 
-/// How long endpoints that rejected a request are left out of its next choices; doubles.
+/// Initial time for which endpoints that failed or rejected a request are excluded from its next
+/// choices. Doubles before each use.
 constexpr auto firstAvoidPause = std::chrono::milliseconds { 125 };
 
 class Forwarder::Run
@@ -38,109 +39,124 @@
     auto execute() -> boost::asio::awaitable<void>;
 
 private:
-    /// How one dispatch, or the wait for one, came out.
+    /// Result of one dispatch, or of waiting for one.
     enum class Step : std::uint8_t {
-        Settled, ///< The request has its end.
-        NotRun,  ///< Certainly not run there.
-        Broken,  ///< It may have run there.
+        Settled, ///< The request has reached its final outcome.
+        NotRun,  ///< The endpoint certainly did not run the request.
+        Broken,  ///< The dispatch broke off; the endpoint may have run the request.
     };
 
     // ---- admission (forwarderadmission.cpp)
 
-    /// Right after the start: waits for the first document.
+    /// Right after the start of the gateway, waits for the first document and the proof of its
+    /// keys.
     auto awaitDocument() -> boost::asio::awaitable<void>;
-    /// @return the refusal of a request that cannot be carried at all
+    /// Reads the request and finds its route, account and service.
+    /// @return the refusal of a request that cannot be forwarded at all
     auto prepare() -> std::optional<Refusal>;
-    /// Finds the account of the caller's key. @return the refusal of a caller that has none
+    /// Finds the account of the caller's key.
+    /// @return a refusal if the route requires an account and the caller has none
     auto identify() -> std::optional<Refusal>;
     auto rank() const -> std::uint32_t;
-    /// @return what the request takes of its account's limit; nullopt: nothing
+    /// @return what the request is charged against its account's limit; nullopt if nothing
     auto charge() const -> std::optional<catalogue::AccountCharge>;
-    /// A request that waits for a model must not have it loaded when its account has no room.
-    /// @return true when it was refused
+    /// Refuses a request that waits for a model if its account is over its limit, so that it does
+    /// not cause a load.
+    /// @return true if the request was refused
     auto refuseOverLimit() -> boost::asio::awaitable<bool>;
     auto overLimitError() const -> absl::Status;
-    auto makeWish() -> void;
+    auto setCriteria() -> void;
     auto verdict() const -> policy::Verdict;
-    /// @return why the request may not run, and sets when to come back; nullopt: it may
+    /// @return why the request may not run, and sets the Retry-After time; nullopt if it may run
     auto quarantineRefusal() -> std::optional<absl::Status>;
     auto quarantinedError(std::uint32_t ends) const -> absl::Status;
 
     // ---- placing (forwarderplacing.cpp)
 
     /// Waits for an endpoint that can take the request.
-    /// @return nullptr when the request has been settled instead
+    /// @return the endpoint, or nullptr if the request has been settled instead
     auto place() -> boost::asio::awaitable<EndpointEntry *>;
-    static auto lackError(Lack lack) -> absl::Status;
-    /// Looks for an endpoint; it is in picked_ then, and known. @return what lacks
-    auto pick() -> boost::asio::awaitable<Lack>;
-    /// Waits as long as the balancer asked for, less when the request has not so much time.
+    static auto blockedError(BlockedBy blockedBy) -> absl::Status;
+    /// Looks for an endpoint and stores the result in picked_.
+    /// @return why there is none, or BlockedBy::Nothing if picked_ names a known endpoint
+    auto pick() -> boost::asio::awaitable<BlockedBy>;
+    /// Delays the dispatch for as long as the balancer asked, or less if the request has less time
+    /// left.
     auto hold() -> boost::asio::awaitable<void>;
-    /// @return how long to wait before asking for a place again; empty when a request that began
+    /// @return how long to wait before asking for a place again; nullopt if a request that starts
     /// after that would be late
-    auto patienceForPlace(Lack lack) -> std::optional<Duration>;
-    /// @return how long to wait before looking again; empty when waiting is of no use
-    auto patienceFor(Lack lack) -> std::optional<Duration>;
-    /// @return when what is lacking will be there; empty when waiting is of no use
-    auto readyAt(Lack lack) -> std::optional<Instant>;
-    /// @return how long a load of what is lacking takes; empty when no load would help
-    auto expectedLoad(Lack lack) -> std::optional<Duration>;
+    auto waitTimeForPlace(BlockedBy blockedBy) -> std::optional<Duration>;
+    /// @return how long to wait before looking for an endpoint again; nullopt if waiting cannot
+    /// help
+    auto waitTimeFor(BlockedBy blockedBy) -> std::optional<Duration>;
+    /// @return when the missing model, adapter or endpoint is expected to be available; nullopt if
+    /// waiting cannot help
+    auto readyAt(BlockedBy blockedBy) -> std::optional<Instant>;
+    /// @return how long loading the missing model or adapter takes; nullopt if no load would help
+    auto expectedLoad(BlockedBy blockedBy) -> std::optional<Duration>;
     auto avoid(const EndpointId &id) -> void;
-    /// What rejected the request a while ago may take it now. Each time it waits longer, so that an
-    /// endpoint that rejects all gets few of its requests.
-    auto forgiveRejections() -> void;
-    /// Once: the request is demand for its model.
+    /// Makes endpoints that rejected the request earlier eligible again once the avoidance period
+    /// has expired. The period grows each time, so that an endpoint that rejects everything
+    /// receives few dispatches of this request.
+    auto clearExpiredAvoidance() -> void;
+    /// Counts the request as demand for its model, once.
     auto noteDemand() -> void;
     auto beginWaiting() -> void;
     auto finishWaiting() -> void;
 
     // ---- dispatch (forwarderdispatch.cpp)
 
-    /// After a dispatch that brought no end. @return true when another may follow
-    auto mayGoOn(Step step) -> boost::asio::awaitable<bool>;
-    /// After a dispatch that broke off. @return true when the work has cost endpoints enough
-    auto endsTooMany() -> boost::asio::awaitable<bool>;
-    auto takeRepeat() -> bool;
+    /// Called after a dispatch that did not settle the request.
+    /// @return true if another dispatch may follow; otherwise the request has been settled
+    auto mayTryAgain(Step step) -> boost::asio::awaitable<bool>;
+    /// Called after a dispatch that broke off.
+    /// @return true if the work has crashed so many endpoints that the gateway must not retry it
+    auto hasTooManyCrashes() -> boost::asio::awaitable<bool>;
+    auto takeRetry() -> bool;
     auto dispatch(EndpointEntry &entry) -> boost::asio::awaitable<Step>;
-    /// @return whether the endpoint kept the route's targets, as far as this dispatch shows it
+    /// @return whether the endpoint met the route's latency targets, as far as this dispatch shows
+    /// it
     auto outcomeOf(bool hasStarted) const -> proto::PickOutcome;
     auto makeDispatch(const EndpointEntry &entry) -> http::ClientRequest;
     auto exchange(http::ClientRequest out, Duration left, const EndpointId &id)
             -> boost::asio::awaitable<Step>;
-    /// Whatever the endpoint answered, it may have said something of itself.
+    /// Handles what the head of an answer says about the endpoint itself (rate, backoff, draining),
+    /// whatever the answer is.
     auto noteNotice(const EndpointId &id, const catalogue::EndpointNotice &notice) -> void;
     auto noteRejection(const EndpointId &id, const catalogue::EndpointNotice &notice) -> void;
     auto noteFailure(const EndpointId &id, const absl::Status &status, bool reached) -> void;
-    /// The dispatch broke off. What an endpoint was doing as it ended is noted: the next gateway
-    /// that the request comes to knows nothing of this one's failure.
+    /// Called when a dispatch broke off. Records the work that was in progress, in case the
+    /// endpoint has crashed: a retry may arrive at another gateway, which knows nothing of this
+    /// failure.
     auto noteBroken(const EndpointId &id, const absl::Status &status, bool hasBegun) -> void;
     auto noteCompleted() -> void;
-    /// Reads a small answer to its end, so that its connection can be kept.
+    /// Reads a small answer to its end, so that its connection can be reused.
     auto discard(http::ClientStream &stream) -> boost::asio::awaitable<void>;
 
     // ---- relay (forwarderrelay.cpp)
 
     auto relayWhole(http::ClientStream &stream) -> boost::asio::awaitable<Step>;
-    /// One more dispatch after an endpoint's own failure; that failure is the answer when the
-    /// repeat brings none.
-    auto repeatFault(http::Response failure) -> boost::asio::awaitable<Step>;
+    /// Retries once more after an endpoint answered with a failure. If the retry returns no answer,
+    /// the original failure is sent to the caller.
+    auto retryAfterFault(http::Response failure) -> boost::asio::awaitable<Step>;
     auto sendWhole(http::Response answer) -> boost::asio::awaitable<Step>;
     auto relayStream(http::ClientStream &stream) -> boost::asio::awaitable<Step>;
-    /// @return a step when the request has come to its end
-    auto giveEvents(const std::vector<endpoint::SseEvent> &events, http::ClientStream &stream)
+    /// Forwards complete events that the caller has not received yet.
+    /// @return a step if the request is settled
+    auto forwardEvents(const std::vector<endpoint::SseEvent> &events, http::ClientStream &stream)
             -> boost::asio::awaitable<std::optional<Step>>;
     auto noteEvents() -> void;
-    /// Tells the leader, once, of a stream that its endpoint did not serve in time.
+    /// Reports to the leader, once, that an endpoint did not serve a stream in time.
     auto noteLateness(Instant now) -> void;
-    /// Sends the head of a stream, once. @return false when the caller is gone
-    auto begin(http::ClientStream &stream) -> boost::asio::awaitable<bool>;
+    /// Sends the head of a stream, once. @return false if the caller has disconnected
+    auto startResponse(http::ClientStream &stream) -> boost::asio::awaitable<bool>;
 
-    // ---- the whole of it, and its end (forwarder.cpp)
+    // ---- overall control and completion (forwarder.cpp)
 
-    auto carry() -> boost::asio::awaitable<void>;
+    auto dispatchUntilSettled() -> boost::asio::awaitable<void>;
     auto timeLeft() const -> Duration;
     auto onCallerGone() -> void;
-    /// Nothing more is tried: says so at once, or cuts a stream that has begun.
+    /// Stops trying: answers with an error, or lets the server close a stream that has begun.
     auto giveUp(absl::Status status) -> boost::asio::awaitable<void>;
     auto refuse(Refusal refusal) -> boost::asio::awaitable<void>;
     auto report() -> void;
@@ -150,48 +166,51 @@
     const http::Request &request_;
     http::Responder &responder_;
     const Instant arrived_;
-    Instant deadline_;                                        ///< Nothing is waited for beyond it.
-    Instant startBy_;                                         ///< Nor an endpoint beyond this.
-    std::shared_ptr<const catalogue::RouteTable> routes_;     ///< In force when the request came.
-    std::shared_ptr<const catalogue::AccountTable> accounts_; ///< The same.
+    Instant deadline_; ///< The request must be finished by then.
+    Instant startBy_;  ///< The request must be dispatched by then.
+    std::shared_ptr<const catalogue::RouteTable> routes_; ///< In force when the request arrived.
+    /// From the same catalogue as routes_.
+    std::shared_ptr<const catalogue::AccountTable> accounts_;
     CallerRequest caller_;
-    const catalogue::Account *account_ = nullptr; ///< Of the caller's key; null: nobody's.
+    /// Account of the caller's key; null if there is none.
+    const catalogue::Account *account_ = nullptr;
     const catalogue::Route *route_ = nullptr;
     const catalogue::EngineSpec *engine_ = nullptr; ///< Null for a plain service.
     ServiceId service_;
-    DemandTarget target_; ///< Empty model: none.
-    Wish wish_;
-    catalogue::WorkIds works_;                   ///< None before the request was read.
-    std::shared_ptr<http::Canceller> canceller_; ///< Of the dispatch under way.
-    std::string lastEvent_;
-    EndpointId endpoint_; ///< Of the latest dispatch.
-    Picked picked_;       ///< The latest; its booking ends with the dispatch.
+    DemandTarget target_; ///< The model is empty if the request needs none.
+    Criteria criteria_;
+    catalogue::WorkIds works_;                   ///< Empty until the request has been read.
+    std::shared_ptr<http::Canceller> canceller_; ///< Cancels the dispatch in progress.
+    std::string lastEvent_;                      ///< ID of the last event that the caller received.
+    EndpointId endpoint_;                        ///< Endpoint of the latest dispatch.
+    Picked picked_; ///< The latest choice; its booking ends with the dispatch.
     BootTimer holdTimer_;
-    Duration held_ {}; ///< For the sake of the streams at its endpoints.
+    Duration held_ {}; ///< Total delay that balancers asked for to protect running streams.
     std::uint32_t status_ = 0;
     std::uint32_t finalStatus_ = 0;
-    std::uint32_t sent_ = 0;   ///< Dispatches of which bytes left.
-    std::uint32_t ran_ = 0;    ///< Those that may have run.
-    std::uint32_t unsent_ = 0; ///< Those of which none left.
+    std::uint32_t sent_ = 0;   ///< Dispatches of which at least one byte was sent.
+    std::uint32_t ran_ = 0;    ///< Dispatches that may have run.
+    std::uint32_t unsent_ = 0; ///< Dispatches of which no byte was sent.
     Duration avoidPause_ = firstAvoidPause;
     Instant avoidUntil_ {};
-    Instant backoffUntil_ {}; ///< The first to end, of those that could take it.
-    std::optional<Duration> comeBack_;
-    Instant sentAt_ {}; ///< The latest dispatch.
+    Instant backoffUntil_ {}; ///< Earliest end of a backoff among the endpoints that could take the
+                              ///< request.
+    std::optional<Duration> retryAfter_;
+    Instant sentAt_ {}; ///< Time of the latest dispatch.
     std::optional<Instant> firstByteAt_;
     std::optional<Instant> lastEventAt_;
-    Duration longestGap_ {}; ///< Between events of a stream.
+    Duration longestGap_ {}; ///< Longest time between two events of the stream.
     absl::Status lastError_ = makeError(ErrorKind::NoCapacity, "endpoint");
-    Lack lack_ = Lack::Nothing;
-    Ending ending_ = Ending::Refused;
+    BlockedBy blockedBy_ = BlockedBy::Nothing;
+    RequestOutcome outcome_ = RequestOutcome::Refused;
     bool waiting_ = false;
     bool callerGone_ = false;
     bool mayHaveRun_ = false;
     bool budgetSpent_ = false;
-    bool lateTold_ = false;  ///< To the leader.
-    bool isDemand_ = false;  ///< Told to the leader.
-    bool isCounted_ = false; ///< It may have run, and its account was charged.
-    bool hasAskedRoom_ = false;
+    bool lateReported_ = false; ///< A late stream has been reported to the leader.
+    bool isDemand_ = false;     ///< The request has been counted as demand.
+    bool isCounted_ = false;    ///< The request may have run, and its account has been charged.
+    bool hasCheckedLimit_ = false;
 };
 
 } // namespace figrack::gateway
--- a/gateway/gateway.cpp
+++ b/gateway/gateway.cpp
@@ -13,13 +13,16 @@
 
 namespace {
 
-constexpr auto stopLookEvery = std::chrono::milliseconds { 50 };
-/// Requests are placed until so long before the end of a planned stop: most run for less.
-constexpr auto stopPlacing = std::chrono::milliseconds { 2500 };
-/// Time of the leader between two reports, over all gateways: from 291 each is 1.5 s old at most.
-constexpr auto reportShare = std::chrono::milliseconds { 5 };
-/// After a first report of a lacking model, others are bundled for so long.
-constexpr auto urgentEvery = std::chrono::milliseconds { 5 };
+/// Interval at which a planned stop checks its progress.
+constexpr auto stopCheckInterval = std::chrono::milliseconds { 50 };
+/// No request is dispatched within this time before the end of a planned stop. Most requests run
+/// for less.
+constexpr auto placementStopMargin = std::chrono::milliseconds { 2500 };
+/// Time of the leader per report. Each gateway reports at most once per this time multiplied by the
+/// number of gateways; with 291 gateways, a report is at most 1.5 s old.
+constexpr auto leaderTimePerReport = std::chrono::milliseconds { 5 };
+/// Delay of an urgent report of a missing model, so that several are sent together.
+constexpr auto urgentReportDelay = std::chrono::milliseconds { 5 };
 
 } // namespace
 
@@ -41,13 +44,14 @@
         , client_(context, options_.client, clock)
         , feed_(context, feedOptions(), clock, feedHooks())
         , picker_(options_.picker, feed_.balancerLink(), metrics_, random_, clock)
-        , endings_({}, { context, clock, view_, quarantine_, metrics_ },
-                   [this] {
-                       feed_.sendSuspects(quarantine_.takeOwn(policy::millisOf(clock_.now())));
-                   })
+        , crashDetector_({}, { context, clock, view_, quarantine_, metrics_ },
+                         [this] {
+                             feed_.sendSuspects(
+                                     quarantine_.takeOwn(policy::millisOf(clock_.now())));
+                         })
         , forwarder_(options_.forwarder,
                      { context, clock, dialect, view_, retries_, demand_, waiters_, metrics_,
-                       client_, picker_, random_, quarantine_, endings_, feed_.keyLease() })
+                       client_, picker_, random_, quarantine_, crashDetector_, feed_.keyLease() })
         , server_(context, options_.server,
                   [this](const http::Request &request, http::Responder &responder) {
                       return forwarder_.handle(request, responder);
@@ -60,8 +64,8 @@
     auto start() -> absl::Status
     {
         demand_.setOnUrgent([this] { reportSoon(); });
-        view_.setOnOver([this](const EndpointId &id, catalogue::EndpointState before) {
-            endings_.onOver(id, before);
+        view_.setOnSuperseded([this](const EndpointId &id, catalogue::EndpointState before) {
+            crashDetector_.onSuperseded(id, before);
             forwarder_.endDispatches(id);
         });
         if (auto status = server_.start(options_.callers); !status.ok())
@@ -77,10 +81,10 @@
         stopping_ = true;
         stopAskedAt_ = clock_.now();
         feed_.setReady(false);
-        forwarder_.setPlaceBy(stopAskedAt_ + options_.stopBy - stopPlacing);
+        forwarder_.setPlacementDeadline(stopAskedAt_ + options_.stopBy - placementStopMargin);
         LogEvent(LogLevel::Info, "gateway_leaving")
                 .with("in_progress", static_cast<std::uint64_t>(server_.inProgress()));
-        lookAtStop();
+        checkStop();
     }
 
     auto reload(const std::vector<Address> &seeds) -> void
@@ -152,7 +156,7 @@
                     .with("standing", policy::standingName(verdict.standing))
                     .with("release_ms", verdict.releaseIn);
         }
-        // Of those, what has completed here of late.
+        // Report those of the rows that have recently completed here.
         if (const auto own = quarantine_.takeOwn(now); !own.empty())
             feed_.sendSuspects(own);
     }
@@ -172,7 +176,8 @@
     {
         auto catalogue = dialect_.readDocument(document.text);
         if (!catalogue.ok()) {
-            // The controls took it, so a newer program wrote it: nothing here can read it.
+            // The controls accepted the document, so a newer version of the program wrote it and
+            // this one cannot read it.
             LogEvent(LogLevel::Error, "document_not_read")
                     .with("version", document.version)
                     .with(catalogue.status());
@@ -199,9 +204,9 @@
 
     auto scheduleDemand() -> void
     {
-        // The leader hears all gateways: the more there are, the less often each reports.
+        // The leader receives the reports of all gateways, so the interval grows with their number.
         demandTimer_.expires_after(
-                std::max<Duration>(options_.demandEvery, gateways_ * reportShare));
+                std::max<Duration>(options_.demandEvery, gateways_ * leaderTimePerReport));
         demandTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (!self || error)
@@ -216,9 +221,9 @@
         auto report = demand_.take();
         report.unreachable = view_.unreachable();
         report.loads = view_.takeLoads();
-        const auto saysNothing = report.rows.empty() && report.unreachable == toldUnreachable_;
-        toldUnreachable_ = report.unreachable;
-        if (!saysNothing)
+        const auto isUnchanged = report.rows.empty() && report.unreachable == reportedUnreachable_;
+        reportedUnreachable_ = report.unreachable;
+        if (!isUnchanged)
             static_cast<void>(feed_.sendWanted(std::move(report)));
     }
 
@@ -226,7 +231,7 @@
     {
         if (std::exchange(urgentPending_, true))
             return;
-        urgentTimer_.expires_after(urgentEvery);
+        urgentTimer_.expires_after(urgentReportDelay);
         urgentTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (!self || error)
@@ -236,7 +241,7 @@
         });
     }
 
-    auto lookAtStop() -> void
+    auto checkStop() -> void
     {
         const auto passed = clock_.now() - stopAskedAt_;
         if (passed >= options_.stopServing && !refusing_) {
@@ -253,11 +258,11 @@
             onStopped_();
             return;
         }
-        stopTimer_.expires_after(stopLookEvery);
+        stopTimer_.expires_after(stopCheckInterval);
         stopTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
             const auto self = weak.lock();
             if (self && !error)
-                self->lookAtStop();
+                self->checkStop();
         });
     }
 
@@ -276,15 +281,15 @@
     http::Client client_;
     ControlFeed feed_;
     Picker picker_;
-    EndingWatch endings_;
+    CrashDetector crashDetector_;
     Forwarder forwarder_;
     http::Server server_;
     BootTimer demandTimer_;
     BootTimer urgentTimer_;
     BootTimer stopTimer_;
-    std::uint32_t gateways_ = 1; ///< As a control told last.
+    std::uint32_t gateways_ = 1; ///< Last number of gateways that a control announced.
     Instant stopAskedAt_ {};
-    std::vector<EndpointId> toldUnreachable_; ///< By the last report.
+    std::vector<EndpointId> reportedUnreachable_; ///< As listed in the last report.
     bool stopping_ = false;
     bool refusing_ = false;
     bool urgentPending_ = false;
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -1,16 +1,18 @@
-// The process before the callers, put together.
+// The gateway process: assembles the server for callers, the forwarder and the control feed.
 //
 //   auto gateway = Gateway { context, options, clock, dialect, seed, onStopped };
 //   if (auto status = gateway.start(); !status.ok()) ...
-//   gateway.requestStop();               // SIGTERM; onStopped follows
+//   gateway.requestStop();               // on SIGTERM; onStopped is called later
 //
-// A planned stop: ready() turns false and the controls are told at once; new
-// requests are still served for stopServing, since callers keep an address for
-// a while; then they are refused as not run, and so is what still waits for an
-// endpoint shortly before the end; what runs is finished; at stopBy the process ends.
+// Planned stop:
+// - ready() becomes false, and the controls are notified immediately.
+// - New requests are still served for stopServing, since callers cache addresses for a while.
+// - After that, new requests are refused as not run.
+// - Shortly before the end, requests that still wait for an endpoint are refused as well.
+// - Requests in progress are completed. The process ends at stopBy at the latest.
 //
-// Without a control in reach it goes on with what it last knew: a request that
-// every configuration in force allows must not wait for the controls' return.
+// If no control can be reached, the gateway continues with its last known state: a request that
+// every configuration in force allows must not wait until the controls return.
 
 #ifndef FIGRACK_GATEWAY_GATEWAY_H
 #define FIGRACK_GATEWAY_GATEWAY_H
@@ -33,8 +35,9 @@
 
 namespace figrack::gateway {
 
-/// Towards endpoints: a connection is made within some milliseconds unless the endpoint is dead or
-/// cut off, and what it does not acknowledge for a second and a half is lost.
+/// @return client options for connections to endpoints. A connection is made within a few
+/// milliseconds unless the endpoint is down or cut off, and a connection whose data is not
+/// acknowledged for userTimeout is considered lost.
 inline auto endpointClient() -> http::ClientOptions
 {
     auto options = http::ClientOptions {};
@@ -47,8 +50,8 @@
 {
     NodeId name;
     DomainId domain;
-    Address callers;
-    std::vector<Address> seeds; ///< Controls' addresses for peers.
+    Address callers;            ///< Address at which callers connect.
+    std::vector<Address> seeds; ///< Peer addresses of controls.
     std::shared_ptr<proto::PeerKeys> keys;
     RetryWindowOptions retries;
     ForwarderOptions forwarder;
@@ -57,24 +60,27 @@
     KeyLeaseOptions keyLease;
     http::ServerOptions server;
     http::ClientOptions client = endpointClient();
-    Duration stopServing = std::chrono::seconds { 3 }; ///< New requests are served so long.
-    Duration stopBy = std::chrono::milliseconds { 7500 };
-    /// Demand is told so often. Placement looks at seconds, so a finer report only costs wake-ups.
+    Duration stopServing = std::chrono::seconds {
+        3
+    }; ///< New requests are served for this time after a stop was requested.
+    Duration stopBy = std::chrono::milliseconds { 7500 }; ///< Time from the request to the end.
+    /// Interval between demand reports. Placement works on a scale of seconds, so more frequent
+    /// reports would only cost wake-ups.
     Duration demandEvery = std::chrono::milliseconds { 500 };
 };
 
 class Gateway
 {
 public:
-    /// @param dialect outlives the gateway
+    /// @param dialect must outlive the gateway
     /// @param onStopped called once, after a planned stop has finished
     Gateway(boost::asio::io_context &context, GatewayOptions options, const Clock &clock,
             const Dialect &dialect, std::uint64_t seed, std::function<void()> onStopped);
     ~Gateway();
-    /// @return BadSettings when an address cannot be bound
+    /// @return BadSettings if an address cannot be bound
     auto start() -> absl::Status;
     auto requestStop() -> void;
-    /// Settings were read again. @param seeds controls' addresses for peers
+    /// Called when the settings have been reloaded. @param seeds peer addresses of controls
     auto reload(const std::vector<Address> &seeds) -> void;
     /// @return true while callers may be sent here
     auto ready() const -> bool;
--- a/gateway/lonerates.cpp
+++ b/gateway/localrates.cpp
@@ -1,4 +1,4 @@
-#include "gateway/lonerates.h"
+#include "gateway/localrates.h"
 
 #include <algorithm>
 
@@ -7,31 +7,31 @@
 namespace figrack::gateway {
 namespace {
 
-/// Of the rate, what all gateways without a balancer use together.
-constexpr auto aloneShare = 0.5;
-/// Requests of an endpoint within it are counted together.
+/// Fraction of the rate that all gateways without a balancer use together.
+constexpr auto localShare = 0.5;
+/// Time over which requests to one endpoint are counted together.
 constexpr auto window = std::chrono::seconds { 4 };
 
 } // namespace
 
-LoneRates::LoneRates(const Clock &clock, Random &random)
+LocalRates::LocalRates(const Clock &clock, Random &random)
     : clock_(clock)
     , random_(random)
 { }
 
-auto LoneRates::part() const -> double
+auto LocalRates::part() const -> double
 {
-    return aloneShare / gateways_;
+    return localShare / gateways_;
 }
 
-auto LoneRates::setGateways(std::uint32_t gateways) -> void
+auto LocalRates::setGateways(std::uint32_t gateways) -> void
 {
     gateways_ = std::max(gateways, 1U);
     for (auto &[id, row] : rows_)
         row.limiter.setPart(part(), clock_.now());
 }
 
-auto LoneRates::begin(double perSecond) -> Row
+auto LocalRates::begin(double perSecond) -> Row
 {
     const auto inWindow = perSecond * part() * inSeconds(window);
     auto options = policy::RateLimiterOptions {};
@@ -40,7 +40,7 @@
     return { policy::RateLimiter { options }, clock_.now() };
 }
 
-auto LoneRates::take(const EndpointId &id, double perSecond) -> std::optional<Duration>
+auto LocalRates::take(const EndpointId &id, double perSecond) -> std::optional<Duration>
 {
     const auto now = clock_.now();
     std::erase_if(rows_, [now](const auto &item) { return now - item.second.usedAt > window; });
--- a/gateway/metrics.cpp
+++ b/gateway/metrics.cpp
@@ -16,15 +16,15 @@
 const auto secondBuckets
         = prometheus::Histogram::BucketBoundaries { 0.01, 0.03, 0.1, 0.2, 0.3, 0.5,
                                                     0.8,  1,    2,   5,   10,  20 };
-constexpr auto endingNames
+constexpr auto requestOutcomeNames
         = std::array<std::string_view, 8> { "answered",   "no_route",    "refused", "failed",
                                             "broken_off", "caller_gone", "denied",  "over_limit" };
 
 } // namespace
 
-auto endingName(Ending ending) -> std::string_view
+auto requestOutcomeName(RequestOutcome outcome) -> std::string_view
 {
-    return endingNames[static_cast<std::size_t>(ending) % endingNames.size()];
+    return requestOutcomeNames[static_cast<std::size_t>(outcome) % requestOutcomeNames.size()];
 }
 
 class Metrics::Impl
@@ -116,9 +116,9 @@
 
 Metrics::~Metrics() = default;
 
-auto Metrics::onRequest(Ending ending, Duration firstByte, Duration total) -> void
+auto Metrics::onRequest(RequestOutcome outcome, Duration firstByte, Duration total) -> void
 {
-    impl_->requests.Add({ { "end", std::string { endingName(ending) } } }).Increment();
+    impl_->requests.Add({ { "end", std::string { requestOutcomeName(outcome) } } }).Increment();
     impl_->latency.Add({ { "until", "first_byte" } }, secondBuckets).Observe(inSeconds(firstByte));
     impl_->latency.Add({ { "until", "end" } }, secondBuckets).Observe(inSeconds(total));
 }
--- a/gateway/metrics.h
+++ b/gateway/metrics.h
@@ -1,6 +1,7 @@
-// The gateway's metrics, as the Prometheus text page.
+// The gateway's metrics, in the Prometheus text format.
 //
-// Guarantee: labels are bounded: outcomes by their table, nothing by caller or request.
+// Guarantee: the number of label values is bounded. They come from fixed tables, and never from a
+// caller or a request.
 
 #ifndef FIGRACK_GATEWAY_METRICS_H
 #define FIGRACK_GATEWAY_METRICS_H
@@ -15,31 +16,31 @@
 namespace figrack::gateway {
 
 /// How a request ended.
-enum class Ending : std::uint8_t {
-    Answered,  ///< The endpoint's answer went out whole.
-    NoRoute,   ///< No route, or the request could not be read.
-    Refused,   ///< It has not run and will not.
-    Failed,    ///< It may have run; a failure was answered.
-    BrokenOff, ///< A stream that had begun was cut.
-    CallerGone,
-    Denied,    ///< It showed no key of an account.
-    OverLimit, ///< Its account had used up its limit.
+enum class RequestOutcome : std::uint8_t {
+    Answered,   ///< The endpoint's answer was sent completely.
+    NoRoute,    ///< There is no route for the request.
+    Refused,    ///< The request has not run and will not run.
+    Failed,     ///< The request may have run, and an error was sent.
+    BrokenOff,  ///< A stream that had begun was not completed.
+    CallerGone, ///< The caller disconnected.
+    Denied,     ///< The request had no key of an account.
+    OverLimit,  ///< The account had used up its limit.
 };
 
 /// @return "answered", "no_route", ...
-auto endingName(Ending ending) -> std::string_view;
+auto requestOutcomeName(RequestOutcome outcome) -> std::string_view;
 
-/// What the page shows of the present moment.
+/// Current values that the page shows.
 struct GatewayGauges
 {
-    std::uint64_t version = 0; ///< Of the configuration in force.
+    std::uint64_t version = 0; ///< Version of the configuration in force.
     std::uint64_t endpoints = 0;
     std::uint64_t waiting = 0;
     std::uint64_t inProgress = 0;
-    std::uint64_t suspects = 0;    ///< Rows of suspected work, in quarantine or not.
-    std::uint64_t quarantined = 0; ///< Of those, in quarantine.
-    std::uint64_t rateLimited = 0; ///< Endpoints that take a limited rate of requests.
-    std::uint64_t backedOff = 0;   ///< Endpoints whose backoff lasts.
+    std::uint64_t suspects = 0;    ///< Entries of suspected work, in quarantine or not.
+    std::uint64_t quarantined = 0; ///< Entries that are in quarantine.
+    std::uint64_t rateLimited = 0; ///< Endpoints that accept only a limited rate of requests.
+    std::uint64_t backedOff = 0;   ///< Endpoints that are in backoff.
     bool ready = false;
 };
 
@@ -48,24 +49,25 @@
 public:
     Metrics();
     ~Metrics();
-    /// @param firstByte from arrival to the first byte of the answer
-    /// @param total from arrival to the end
-    auto onRequest(Ending ending, Duration firstByte, Duration total) -> void;
+    /// @param firstByte time from arrival to the first byte of the answer
+    /// @param total time from arrival to the end
+    auto onRequest(RequestOutcome outcome, Duration firstByte, Duration total) -> void;
     auto onDispatch(bool isRepeat) -> void;
     auto onEndpointFailure() -> void;
-    /// The process of an endpoint ended while requests of this gateway were in progress there.
+    /// The process of an endpoint ended while it was running requests of this gateway.
     auto onEndpointEnded() -> void;
-    /// A request was refused, as its work is in quarantine.
+    /// A request was refused because its work is in quarantine.
     auto onQuarantined() -> void;
-    /// An endpoint named the rate of requests that it takes.
+    /// An endpoint named the rate of requests that it accepts.
     auto onRateNamed() -> void;
     /// An endpoint rejected a request and asked for a backoff.
     auto onBackoffAsked() -> void;
-    /// A choice among several endpoints. @param by who made it, of a fixed set
+    /// An endpoint was chosen among several. @param by who chose it, from a fixed set
     auto onPick(std::string_view by) -> void;
-    /// A document was put into force. @param took since it, or a newer one, was announced here
-    /// @param overdue questions for it that another control was asked besides
-    /// @param fetchedBytes of its blocks
+    /// A document was put into force.
+    /// @param took time since it, or a newer one, was announced here
+    /// @param overdue number of requests for it that became overdue
+    /// @param fetchedBytes size of its blocks that were fetched
     auto onDocument(Duration took, std::uint32_t overdue, std::uint64_t fetchedBytes) -> void;
     /// @return the page
     auto text(const GatewayGauges &gauges) -> std::string;
--- a/gateway/picker.cpp
+++ b/gateway/picker.cpp
@@ -18,19 +18,19 @@
 
 namespace {
 
-auto lackOf(proto::PickRefusal refusal) -> Lack
+auto blockedByRefusal(proto::PickRefusal refusal) -> BlockedBy
 {
     switch (refusal) {
     case proto::PickRefusal::Suspect:
-        return Lack::Trial;
+        return BlockedBy::Trial;
     case proto::PickRefusal::OverLimit:
-        return Lack::Limit;
+        return BlockedBy::Limit;
     case proto::PickRefusal::CannotCount:
-        return Lack::Counter;
+        return BlockedBy::Counter;
     case proto::PickRefusal::RateUsed:
-        return Lack::Rate;
+        return BlockedBy::Rate;
     default:
-        return Lack::Places;
+        return BlockedBy::Places;
     }
 }
 
@@ -100,8 +100,8 @@
     , metrics_(metrics)
     , random_(random)
     , clock_(clock)
-    , loneRates_(clock, random)
-    , lone_(std::make_shared<LoneAdmission>(options.lone, clock, random))
+    , localRates_(clock, random)
+    , localAdmission_(std::make_shared<LocalAdmission>(options.localAdmission, clock, random))
 { }
 
 auto Picker::requestOf(const PickTerms &terms) -> proto::PickRequest
@@ -141,63 +141,65 @@
     return result;
 }
 
-auto Picker::chooseAlone(const std::vector<EndpointEntry *> &able, const Wish &wish) -> OwnChoice
+auto Picker::chooseLocally(const std::vector<EndpointEntry *> &able, const Criteria &criteria)
+        -> LocalChoice
 {
     auto unlimited = std::vector<EndpointEntry *> {};
     std::copy_if(able.begin(), able.end(), std::back_inserter(unlimited),
                  [](const auto *entry) { return !entry->isRateLimited(); });
-    const auto *entry = chooseAmong(unlimited.empty() ? able : unlimited, wish, random_);
+    const auto *entry = chooseAmong(unlimited.empty() ? able : unlimited, criteria, random_);
     return { entry->row.id, entry->rate ? entry->rate->perSecond : std::nullopt };
 }
 
-auto Picker::followOwn(const OwnChoice &own, Picked &picked) -> void
+auto Picker::applyLocalChoice(const LocalChoice &localChoice, Picked &picked) -> void
 {
-    picked.endpoint = own.endpoint;
-    if (!own.ratePerSecond)
+    picked.endpoint = localChoice.endpoint;
+    if (!localChoice.ratePerSecond)
         return;
-    picked.comeBack = loneRates_.take(own.endpoint, *own.ratePerSecond);
-    if (!picked.comeBack)
+    picked.retryAfter = localRates_.take(localChoice.endpoint, *localChoice.ratePerSecond);
+    if (!picked.retryAfter)
         return;
     picked.endpoint = {};
     picked.booking = {};
-    picked.lack = Lack::Rate;
+    picked.blockedBy = BlockedBy::Rate;
 }
 
-auto Picker::pick(const std::vector<EndpointEntry *> &able, const Wish &wish,
+auto Picker::pick(const std::vector<EndpointEntry *> &able, const Criteria &criteria,
                   const PickTerms &terms) -> asio::awaitable<Picked>
 {
     auto picked = Picked {};
-    const auto own = chooseAlone(able, wish);
+    const auto localChoice = chooseLocally(able, criteria);
     if (!link_->ask) {
-        followOwn(own, picked);
+        applyLocalChoice(localChoice, picked);
         co_return picked;
     }
     auto request = requestOf(terms);
-    const auto candidates = candidatesOf(able, own.endpoint);
+    const auto candidates = candidatesOf(able, localChoice.endpoint);
     request.candidates = candidates;
     request.rates = ratesOf(able, candidates);
-    const auto mustBeCounted = terms.charge || own.ratePerSecond;
-    // With one candidate nothing is to be chosen, but when to send a prompt there.
+    const auto mustBeCounted = terms.charge || localChoice.ratePerSecond;
+    // With a single candidate there is no choice of endpoint. A balancer is still asked if the
+    // request has a model, since it also decides when to send the prompt.
     if (candidates.size() == 1 && request.model == 0 && !mustBeCounted) {
-        picked.endpoint = own.endpoint;
+        picked.endpoint = localChoice.endpoint;
         const auto ticket = request.ticket = ++lastTicket_;
         if (const auto balancer = link_->tell(std::move(request)))
             picked.booking = bookingAt(*balancer, ticket);
         co_return picked;
     }
-    const auto answer = co_await askOneOrTwo(std::move(request), mustBeCounted);
+    const auto answer = co_await askWithRetry(std::move(request), mustBeCounted);
     const auto &advice = answer.advice;
     if (terms.charge && !advice) {
-        if (admitAlone(*terms.charge, picked))
-            followOwn(own, picked);
+        if (admitLocally(*terms.charge, picked))
+            applyLocalChoice(localChoice, picked);
         co_return picked;
     }
     if (terms.charge)
         noteCounted(*terms.charge, *advice);
     if (advice && advice->endpoint.empty() && advice->comeBackMs > 0) {
         picked.by = PickedBy::Balancer;
-        picked.comeBack = std::chrono::milliseconds { advice->comeBackMs };
-        picked.lack = lackOf(advice->refusal);
+        picked.retryAfter = std::chrono::milliseconds { advice->comeBackMs };
+        picked.blockedBy = blockedByRefusal(advice->refusal);
         co_return picked;
     }
     const auto isUsable = advice.has_value()
@@ -208,28 +210,31 @@
     if (answer.balancer)
         picked.booking = bookingAt(*answer.balancer, answer.ticket);
     if (isUsable)
-        follow(*advice, picked);
+        applyAdvice(*advice, picked);
     else
-        followOwn(own, picked);
+        applyLocalChoice(localChoice, picked);
     co_return picked;
 }
 
-/// @param mustBeCounted over all gateways: a second balancer is asked before none is
-auto Picker::askOneOrTwo(proto::PickRequest request, bool mustBeCounted) -> asio::awaitable<Answer>
+/// Asks a balancer.
+/// @param mustBeCounted whether the request must be counted across all gateways; then a second
+/// balancer is asked if the first does not answer
+auto Picker::askWithRetry(proto::PickRequest request, bool mustBeCounted) -> asio::awaitable<Answer>
 {
     const auto tries = mustBeCounted ? 2 : 1;
-    auto untold = std::uint64_t { 0 };
+    auto unreported = std::uint64_t { 0 };
     if (request.charge)
-        untold = request.charge->admittedAlone = lone_->takeUntold(request.charge->account);
+        unreported = request.charge->admittedAlone
+                = localAdmission_->takeUnreported(request.charge->account);
     auto answer = Answer {};
     for (auto i = 0; i < tries && !answer.advice; ++i) {
         answer.ticket = request.ticket = ++lastTicket_;
         answer.advice = co_await ask(request, answer.balancer);
     }
     if (answer.advice)
-        loneRates_.onCounted();
-    if (!answer.advice && untold > 0)
-        lone_->putBackUntold(request.charge->account, untold);
+        localRates_.onCounted();
+    if (!answer.advice && unreported > 0)
+        localAdmission_->restoreUnreported(request.charge->account, unreported);
     co_return answer;
 }
 
@@ -239,19 +244,20 @@
              ticket };
 }
 
-/// No balancer counts the charge. @return true when the request may go on
-auto Picker::admitAlone(const catalogue::AccountCharge &charge, Picked &picked) -> bool
+/// Admits a charge locally, because no balancer can count it.
+/// @return true if the request may proceed
+auto Picker::admitLocally(const catalogue::AccountCharge &charge, Picked &picked) -> bool
 {
     picked.by = PickedBy::Gateway;
     metrics_.onPick(pickedByName(picked.by));
-    if (const auto comeBack = lone_->admit(charge)) {
-        picked.comeBack = comeBack;
-        picked.lack = Lack::Counter;
+    if (const auto retryAfter = localAdmission_->admit(charge)) {
+        picked.retryAfter = retryAfter;
+        picked.blockedBy = BlockedBy::Counter;
         return false;
     }
-    auto giveBack = [lone = lone_, charge](const proto::PickEnd &end) {
+    auto giveBack = [localAdmission = localAdmission_, charge](const proto::PickEnd &end) {
         if (!end.mayHaveRun)
-            lone->giveBack(charge.account, charge.cost);
+            localAdmission->giveBack(charge.account, charge.cost);
     };
     picked.booking = Booking { std::move(giveBack), ++lastTicket_ };
     return true;
@@ -260,9 +266,9 @@
 auto Picker::noteCounted(const catalogue::AccountCharge &charge, const proto::PickReply &advice)
         -> void
 {
-    const auto isOver = advice.refusal == proto::PickRefusal::OverLimit;
-    lone_->onCounted(charge.account, advice.endpoint.empty() ? 0 : charge.cost,
-                     isOver || advice.isNearLimit);
+    const auto isOverLimit = advice.refusal == proto::PickRefusal::OverLimit;
+    localAdmission_->onCounted(charge.account, advice.endpoint.empty() ? 0 : charge.cost,
+                               isOverLimit || advice.isNearLimit);
 }
 
 auto Picker::roomIn(catalogue::AccountCharge charge, const catalogue::WorkIds &works)
@@ -273,14 +279,14 @@
     auto request = proto::PickRequest {};
     request.charge = std::move(charge);
     request.works = works;
-    const auto answer = co_await askOneOrTwo(std::move(request), true);
+    const auto answer = co_await askWithRetry(std::move(request), true);
     const auto &advice = answer.advice;
     if (!advice || advice->refusal != proto::PickRefusal::OverLimit)
         co_return std::nullopt;
     co_return std::chrono::milliseconds { advice->comeBackMs };
 }
 
-auto Picker::follow(const proto::PickReply &advice, Picked &picked) const -> void
+auto Picker::applyAdvice(const proto::PickReply &advice, Picked &picked) const -> void
 {
     picked.endpoint = advice.endpoint;
     picked.startMs = advice.startMs;
@@ -300,7 +306,7 @@
     }
     if (result.size() <= options_.maxCandidates)
         return result;
-    // The local choice stays; of the others each is as likely as the next.
+    // Keep the local choice, and choose uniformly among the others.
     for (std::size_t i = 1; i < options_.maxCandidates; ++i)
         std::swap(result[i], result[i + random_.below(result.size() - i)]);
     result.resize(options_.maxCandidates);
--- a/gateway/picker.h
+++ b/gateway/picker.h
@@ -1,16 +1,16 @@
-// Which of the endpoints that can take a request it goes to.
+// Chooses which of the endpoints that can take a request receives it.
 //
-//   auto picked = co_await picker.pick(able, wish, terms);
-//   if (auto *entry = view.find(picked.endpoint)) ...     // may have changed meanwhile
+//   auto picked = co_await picker.pick(able, criteria, terms);
+//   if (auto *entry = view.find(picked.endpoint)) ...     // the view may have changed meanwhile
 //   // the booking ends with picked.booking
 //
-// A balancer (fleet/balancer.h) knows what all gateways have sent where and is
-// asked first. When none can be asked, or it does not answer in time, the gateway
-// chooses by its own knowledge: a request never waits longer than askTimeout, and
-// never fails, for the balancer's sake. Only what must be counted over all gateways
-// is asked of a second one, and refused beyond this gateway's own part: requests of
-// accounts with a limit (gateway/loneadmission.h), and those that only endpoints can
-// take that named a rate (gateway/lonerates.h). Not thread-safe.
+// The picker first asks a balancer (fleet/balancer.h), which knows what all gateways have sent to
+// each endpoint. If no balancer is connected, or none answers in time, the gateway chooses by its
+// own information: a request never waits longer than askTimeout for a balancer, and never fails
+// because there is none. Two kinds of requests must be counted across all gateways: those of
+// accounts with a limit (gateway/localadmission.h), and those for which only endpoints that named
+// a rate are available (gateway/localrates.h). For these, a second balancer is asked if the first
+// does not answer, and without an answer the gateway admits only its own part. Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_PICKER_H
 #define FIGRACK_GATEWAY_PICKER_H
@@ -28,8 +28,8 @@
 #include "gateway/chooser.h"
 #include "gateway/dialect.h"
 #include "gateway/fleetview.h"
-#include "gateway/loneadmission.h"
-#include "gateway/lonerates.h"
+#include "gateway/localadmission.h"
+#include "gateway/localrates.h"
 #include "gateway/metrics.h"
 #include "proto/servingmessages.h"
 
@@ -37,29 +37,33 @@
 
 struct PickerOptions
 {
-    /// A balancer answers within 2 to 6 ms; longer than this costs a request more than a worse
-    /// choice does.
+    /// How long to wait for a balancer, which normally answers within 2 to 6 ms. Waiting longer
+    /// costs a request more than a worse choice does.
     Duration askTimeout = std::chrono::milliseconds { 40 };
-    /// No advice holds a request back for longer; as much as a balancer asks for at most.
+    /// Maximum time a request is delayed on the advice of a balancer. This is also the most a
+    /// balancer asks for.
     Duration longestHold = std::chrono::milliseconds { 500 };
-    /// Candidates that a balancer is told at most; more add to its work and little to the choice.
+    /// Maximum number of candidates sent to a balancer. More candidates increase its work but
+    /// hardly improve the choice.
     std::size_t maxCandidates = 16;
-    LoneAdmissionOptions lone;
+    LocalAdmissionOptions localAdmission;
 };
 
-/// How a balancer is reached; empty functions: there is none.
+/// Connection to a balancer. If the functions are empty, there is none.
 struct BalancerLink
 {
     using Done = std::function<void(std::optional<proto::PickReply>)>;
-    /// Asks a balancer. @return its address, or nothing (and done is dropped) when none is
-    /// connected
+    /// Asks a balancer.
+    /// @return its address, or nullopt if none is connected; then done is not called
     std::function<std::optional<Address>(proto::PickRequest, Duration timeout, Done done)> ask;
-    /// Tells a balancer of a choice that was made without it. @return as above
+    /// Reports to a balancer a choice that was made without it.
+    /// @return as for ask
     std::function<std::optional<Address>(proto::PickRequest)> tell;
+    /// Tells the balancer that a booking has ended.
     std::function<void(const Address &balancer, proto::PickEnd)> end;
 };
 
-/// A request's place in a balancer's account; ends with this object.
+/// A request's entry in a balancer's record of running requests. It ends with this object.
 class Booking
 {
 public:
@@ -72,21 +76,21 @@
     auto operator=(Booking &&other) noexcept -> Booking &;
     Booking(const Booking &) = delete;
     auto operator=(const Booking &) -> Booking & = delete;
-    /// @param start from the request's sending to its first event; zero when there was none
-    /// @param mayHaveRun otherwise its account gets its charge back
+    /// @param start time from sending the request to its first event; zero if there was none
+    /// @param mayHaveRun if false, the charge is returned to the account
     auto end(Duration start = {}, proto::PickOutcome outcome = proto::PickOutcome::Unknown,
              bool mayHaveRun = false) -> void;
 
 private:
-    OnEnd onEnd_; ///< Empty: nothing is booked.
+    OnEnd onEnd_; ///< Empty if nothing is booked.
     std::uint64_t ticket_ = 0;
 };
 
 /// Who chose an endpoint.
 enum class PickedBy : std::uint8_t {
-    Nobody,   ///< There was only one, or none yet.
-    Balancer, ///< It knows what all gateways have sent where.
-    Gateway,  ///< By its own knowledge: no balancer answered in time.
+    Nobody,   ///< There was only one candidate, or none has been chosen yet.
+    Balancer, ///< A balancer, which knows what all gateways have sent to each endpoint.
+    Gateway,  ///< This gateway, because no balancer answered in time.
 };
 
 /// @return "nobody", "balancer" or "gateway"
@@ -97,35 +101,39 @@
     EndpointId endpoint;
     Booking booking;
     PickedBy by = PickedBy::Nobody;
-    std::uint32_t startMs = 0; ///< Until the prompt is read there, by the balancer's account.
-    std::uint32_t running = 0; ///< Requests there, by the same.
-    Duration hold {};          ///< To be waited before the dispatch, for the streams there.
-    EndpointId fetchFrom;      ///< Keeps more of the prompt; empty: none does.
-    /// It may go to none of the endpoints now, and when it may; then endpoint is empty.
-    std::optional<Duration> comeBack;
-    Lack lack = Lack::Nothing; ///< With comeBack: why.
+    std::uint32_t startMs = 0; ///< Balancer's estimate of the time until the prompt has been read.
+    std::uint32_t running = 0; ///< Requests running at the endpoint, as counted by the balancer.
+    Duration hold {};          ///< Delay before the dispatch, to protect the streams running there.
+    EndpointId fetchFrom;      ///< Endpoint that caches more of the prompt; empty if none does.
+    /// Set if the request may currently go to none of the endpoints: the time after which it may.
+    /// Then endpoint is empty.
+    std::optional<Duration> retryAfter;
+    BlockedBy blockedBy = BlockedBy::Nothing; ///< The reason if retryAfter is set.
 };
 
-/// What a request puts on an endpoint.
+/// The load that a request puts on an endpoint, and its constraints.
 struct PickTerms
 {
-    std::uint64_t model = 0; ///< Hash of service and model; 0: none.
+    std::uint64_t model = 0; ///< Hash of service and model; 0 if the request needs none.
     std::vector<proto::PromptSpan> shared;
     std::uint64_t ownTokens = 0;
     std::uint64_t outputTokens = 0;
-    double fetchTokensPerMs = 0; ///< Between two endpoints; 0: not possible.
-    Duration left {};            ///< Until nobody waits for the request any more.
-    std::uint32_t places = 0;    ///< Requests that an engine runs at once; 0: a plain service.
-    std::uint32_t rank = 0;      ///< 0 is the most urgent.
-    bool hasBegun = false;       ///< Part of its answer was given: it goes on, or is cut off.
-    Duration startTarget {};     ///< Zero: none.
-    Duration gapTarget {};       ///< Zero: none.
-    catalogue::WorkIds works;    ///< Suspected work runs one at a time.
-    /// Of an account with a limit; absent: none, or the request was counted before.
+    double fetchTokensPerMs = 0; ///< Rate of fetching cached prompt parts between two endpoints; 0
+                                 ///< if that is not possible.
+    Duration left {};            ///< Time until the caller stops waiting.
+    std::uint32_t places = 0; ///< Requests that an engine runs concurrently; 0 for a plain service.
+    std::uint32_t rank = 0;   ///< 0 is the most urgent.
+    bool hasBegun
+            = false; ///< An earlier dispatch was sent, so part of the answer may have been given.
+    Duration startTarget {};  ///< Target time to the first event; zero if there is none.
+    Duration gapTarget {};    ///< Target time between events; zero if there is none.
+    catalogue::WorkIds works; ///< For quarantine: suspected work runs one attempt at a time.
+    /// Charge against an account with a limit; absent if there is none, or the request has been
+    /// counted already.
     std::optional<catalogue::AccountCharge> charge;
 };
 
-/// @return what the caller's request puts on an endpoint
+/// @return the load that the caller's request puts on an endpoint
 auto pickTerms(const ServiceId &service, const CallerRequest &request, Duration left) -> PickTerms;
 
 class Picker
@@ -133,13 +141,13 @@
 public:
     Picker(PickerOptions options, BalancerLink link, Metrics &metrics, Random &random,
            const Clock &clock);
-    /// @param gateways how many there are, this one included; at least 1
-    auto setGateways(std::uint32_t gateways) -> void { loneRates_.setGateways(gateways); }
-    /// @param able one endpoint at least
-    auto pick(const std::vector<EndpointEntry *> &able, const Wish &wish, const PickTerms &terms)
-            -> boost::asio::awaitable<Picked>;
-    /// Asks whether an account has room for a charge, and counts nothing.
-    /// @return when it will have; nullopt: it has, or nobody could say
+    /// @param gateways number of gateways, including this one; at least 1
+    auto setGateways(std::uint32_t gateways) -> void { localRates_.setGateways(gateways); }
+    /// @param able endpoints that can take the request; must not be empty
+    auto pick(const std::vector<EndpointEntry *> &able, const Criteria &criteria,
+              const PickTerms &terms) -> boost::asio::awaitable<Picked>;
+    /// Asks whether an account has room for a charge, without counting the charge.
+    /// @return time until it has room; nullopt if it has room now, or no balancer answered
     auto roomIn(catalogue::AccountCharge charge, const catalogue::WorkIds &works)
             -> boost::asio::awaitable<std::optional<Duration>>;
 
@@ -147,31 +155,34 @@
     /// A balancer's answer to one request.
     struct Answer
     {
-        std::optional<proto::PickReply> advice; ///< Nothing: none came in time.
-        std::optional<Address> balancer;        ///< That was asked last.
+        std::optional<proto::PickReply> advice; ///< Empty if no answer came in time.
+        std::optional<Address> balancer;        ///< The balancer that was asked last.
         std::uint64_t ticket = 0;
     };
-    /// What this gateway would choose by itself.
-    struct OwnChoice
+    /// The endpoint that this gateway would choose by its own information.
+    struct LocalChoice
     {
         EndpointId endpoint;
-        std::optional<double> ratePerSecond; ///< That the endpoint takes; absent: any.
+        /// Rate that the endpoint named; absent if it takes any rate.
+        std::optional<double> ratePerSecond;
     };
     static auto requestOf(const PickTerms &terms) -> proto::PickRequest;
-    /// @return what the candidates ever named, so that a question stays bounded
+    /// @return the rates that the candidates have named; only candidates are listed, so that the
+    /// size of a request to a balancer is bounded
     auto ratesOf(const std::vector<EndpointEntry *> &able,
                  const std::vector<EndpointId> &candidates) const
             -> std::vector<proto::CandidateRate>;
-    auto chooseAlone(const std::vector<EndpointEntry *> &able, const Wish &wish) -> OwnChoice;
-    /// No balancer chose: the gateway's own choice is taken, if its rate allows it.
-    auto followOwn(const OwnChoice &own, Picked &picked) -> void;
-    auto askOneOrTwo(proto::PickRequest request, bool mustBeCounted)
+    auto chooseLocally(const std::vector<EndpointEntry *> &able, const Criteria &criteria)
+            -> LocalChoice;
+    /// Uses the gateway's own choice if its rate allows it. Called when no balancer chose.
+    auto applyLocalChoice(const LocalChoice &localChoice, Picked &picked) -> void;
+    auto askWithRetry(proto::PickRequest request, bool mustBeCounted)
             -> boost::asio::awaitable<Answer>;
     auto bookingAt(const Address &balancer, std::uint64_t ticket) const -> Booking;
-    auto admitAlone(const catalogue::AccountCharge &charge, Picked &picked) -> bool;
+    auto admitLocally(const catalogue::AccountCharge &charge, Picked &picked) -> bool;
     auto noteCounted(const catalogue::AccountCharge &charge, const proto::PickReply &advice)
             -> void;
-    auto follow(const proto::PickReply &advice, Picked &picked) const -> void;
+    auto applyAdvice(const proto::PickReply &advice, Picked &picked) const -> void;
     auto candidatesOf(const std::vector<EndpointEntry *> &able, const EndpointId &local)
             -> std::vector<EndpointId>;
     auto ask(proto::PickRequest request, std::optional<Address> &balancer)
@@ -182,8 +193,9 @@
     Metrics &metrics_;
     Random &random_;
     const Clock &clock_;
-    LoneRates loneRates_;
-    std::shared_ptr<LoneAdmission> lone_; ///< Shared with bookings, which may end later.
+    LocalRates localRates_;
+    /// Shared with bookings, which may outlive the picker.
+    std::shared_ptr<LocalAdmission> localAdmission_;
     std::uint64_t lastTicket_ = 0;
 };
 
--- a/gateway/retrywindow.h
+++ b/gateway/retrywindow.h
@@ -1,12 +1,12 @@
-// How many requests may be sent once more, over all gateways together.
+// Limits the number of retries across all gateways.
 //
 //   budget.onRequest(service);
-//   if (budget.take(service)) sendOnceMore();
+//   if (budget.take(service)) retry();
 //
-// A deployment allows each service, in any window, a share of its requests plus
-// a fixed number of repeats, summed over all gateways. Each gateway keeps to
-// the share of its own requests and an equal part of the fixed number, so that
-// no talk is needed for a request. Not thread-safe.
+// In any window, a deployment allows each service a number of retries that is a fraction of its
+// requests plus a fixed number, summed over all gateways. Each gateway uses the fraction of its own
+// requests and an equal part of the fixed number, so the gateways need not communicate for each
+// request. Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_RETRYWINDOW_H
 #define FIGRACK_GATEWAY_RETRYWINDOW_H
@@ -22,10 +22,11 @@
 
 struct RetryWindowOptions
 {
-    double ratio = 0.2; ///< Repeats a request, over all gateways.
-    double slack = 50;  ///< Repeats a window besides, over all gateways.
+    double ratio = 0.2; ///< Retries per request, over all gateways.
+    double slack = 50;  ///< Additional retries per window, over all gateways.
     Duration window = std::chrono::seconds { 10 };
-    /// Part of what is allowed that is used: gateways count windows and one another late.
+    /// Fraction of the allowed retries that is used, since window boundaries differ between
+    /// gateways and their number is known only with a delay.
     double margin = 0.7;
 };
 
@@ -33,10 +34,10 @@
 {
 public:
     RetryWindow(RetryWindowOptions options, const Clock &clock);
-    /// @param gateways how many there are, this one included; at least 1
+    /// @param gateways number of gateways, including this one; at least 1
     auto setGateways(std::uint32_t gateways) -> void;
     auto onRequest(const ServiceId &service) -> void;
-    /// @return true when one more repeat may be sent; it is counted then
+    /// @return true if another retry may be sent, and counts it
     auto take(const ServiceId &service) -> bool;
 
 private:
@@ -49,7 +50,7 @@
 
     RetryWindowOptions options_;
     const Clock &clock_;
-    std::uint32_t gateways_ = 8; ///< Until told: a fleet of the usual size.
+    std::uint32_t gateways_ = 8; ///< Until set, assumes a fleet of the usual size.
     std::map<ServiceId, Counts> counts_;
 };
 
--- a/gateway/testing/feedrig.h
+++ b/gateway/testing/feedrig.h
@@ -1,4 +1,4 @@
-// Controls that a test commands, and feeds connected to them over loopback channels.
+// Fake controls that a test drives, and control feeds connected to them over loopback channels.
 
 #ifndef FIGRACK_GATEWAY_TESTING_FEEDRIG_H
 #define FIGRACK_GATEWAY_TESTING_FEEDRIG_H
@@ -32,7 +32,7 @@
     return options;
 }
 
-/// A control that names a leader and answers picks with its own name, unless it is silent.
+/// A control that announces a leader and answers picks with its own name, unless it is silent.
 struct FakeControl
 {
     FakeControl(boost::asio::io_context &itsContext, std::string itsName, const std::string &leader)
@@ -85,15 +85,15 @@
 
     boost::asio::io_context &context;
     std::string name;
-    Revision document;               ///< That it announces; 0: none.
-    std::string text = "text";       ///< Of one block.
-    Duration documentDelay { 0 };    ///< What an answer about a document takes on a slow link.
-    bool isSilent = false;           ///< Answers no pick.
-    bool holdsBackDocuments = false; ///< Answers no question for a document.
+    Revision document;               ///< Version that it announces; 0 if none.
+    std::string text = "text";       ///< Text of the document, in one block.
+    Duration documentDelay { 0 };    ///< Delay of document answers, as on a slow link.
+    bool isSilent = false;           ///< If true, it does not answer picks.
+    bool holdsBackDocuments = false; ///< If true, it does not answer document requests.
     int asked = 0;
     int ended = 0;
-    std::vector<catalogue::SuspectRow> suspects; ///< That it tells its subscribers.
-    std::size_t suspectsHeard = 0;               ///< Rows that came.
+    std::vector<catalogue::SuspectRow> suspects; ///< Rows that it sends to its subscribers.
+    std::size_t suspectsHeard = 0;               ///< Number of rows received.
     std::unique_ptr<proto::PeerServer> server;
 };
 
@@ -135,7 +135,7 @@
         return *feeds.back();
     }
 
-    /// @return the name of the control that picked; empty when none did in time
+    /// @return the name of the control that picked; empty if none did in time
     auto pick(ControlFeed &feed) -> std::string
     {
         auto result = std::optional<std::string> {};
@@ -156,7 +156,7 @@
         while (!condition() && now < end) {
             context.restart();
             context.run_one_for(idleStep);
-            // The feeds' clock goes on as their timers do.
+            // Advance the feeds' clock together with their timers.
             const auto before = std::exchange(now, std::chrono::steady_clock::now());
             clock.advance(now - before);
         }
@@ -167,9 +167,9 @@
     ManualClock clock;
     std::map<std::string, std::unique_ptr<FakeControl>> controls;
     std::vector<std::unique_ptr<ControlFeed>> feeds;
-    std::vector<Revision> documents;             ///< That came.
-    std::vector<catalogue::SuspectRow> suspects; ///< That the feeds' gateways know.
-    std::size_t suspectsTold = 0;                ///< Rows that came.
+    std::vector<Revision> documents;             ///< Versions received.
+    std::vector<catalogue::SuspectRow> suspects; ///< Rows that the feeds' gateways know.
+    std::size_t suspectsTold = 0;                ///< Number of rows received.
 };
 
 } // namespace figrack::gateway::testing
--- a/gateway/testing/rig.cpp
+++ b/gateway/testing/rig.cpp
@@ -147,11 +147,11 @@
     , client(context, {}, clock)
     , picker(pickerOptions, std::move(link), metrics, random, clock)
     , quarantine({})
-    , endings({}, { context, clock, view, quarantine, metrics }, [] {})
+    , crashDetector({}, { context, clock, view, quarantine, metrics }, [] {})
     , keys(keyOptions, clock)
     , forwarder(options,
                 { context, clock, dialect, view, retries, demand, waiters, metrics, client, picker,
-                  random, quarantine, endings, keys })
+                  random, quarantine, crashDetector, keys })
     , caller(context, {}, clock)
     , server_(context, {}, [this](const http::Request &request, http::Responder &responder) {
         return forwarder.handle(request, responder);
