--- a/gateway/testing/tst_accountlimits.cpp
+++ b/gateway/testing/tst_accountlimits.cpp
@@ -1,10 +1,10 @@
-// Limits over all gateways, played in virtual time without a network.
+// Account limits across all gateways, simulated in virtual time without a network.
 //
-// The load: accounts of different sizes, requests that cost from 200 to 40,000 units, gateways that
-// each carry a small part of an account, and one account that asks for six times its limit; the
-// control that counts is lost, cut off or slow; gateways are cut off; a limit is changed. Checked
-// is what callers get: the most that was admitted in any window against what a limit allows, and
-// the part of requests below their limit that was refused for it.
+// Load: accounts of different sizes, requests that cost from 200 to 40,000 units, gateways that
+// each serve a small part of an account, and one account that asks for six times its limit. Faults:
+// the control that counts is lost, cut off or slow; gateways are cut off; a limit is changed. The
+// tests check what callers get: the most that was admitted in any window against what the limit
+// allows, and the fraction of requests below their limit that was refused because of it.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 #include "core/random.h"
 #include "fleet/accountledger.h"
 #include "fleet/testing/fakepeer.h"
-#include "gateway/loneadmission.h"
+#include "gateway/localadmission.h"
 
 using namespace figrack;
 using namespace figrack::fleet;
@@ -37,9 +37,9 @@
 constexpr auto slack = 72'000.0;
 constexpr auto step = Duration { 5ms };
 constexpr auto newsDelay = Duration { 3ms };
-/// Callers come back within a third of the time that they have.
+/// Callers retry within a third of the time that they have.
 constexpr auto patience = Duration { 1600ms };
-/// A gateway goes on by itself for so long; the same as the other half of the window.
+/// How long a gateway continues without a balancer; equal to the other half of the window.
 constexpr auto aloneFor = Duration { 4s };
 
 struct PlayedAccount
@@ -56,7 +56,7 @@
     double cost = 0;
 };
 
-/// Tokens of a request: most cost some thousands, a few 40,000.
+/// Tokens of a request: most cost a few thousand, some cost 40,000.
 auto drawCost(Random &random) -> std::uint64_t
 {
     constexpr auto least = 200.0;
@@ -77,7 +77,7 @@
     {
         for (std::size_t i = 0; i < controls_.size(); ++i)
             startControl(i);
-        run(10s); // Before traffic, as controls start before gateways have callers.
+        run(10s); // Before any traffic, since controls start before gateways have callers.
         begun_ = clock_.now();
     }
 
@@ -100,13 +100,13 @@
         for (std::size_t i = 0; i < controls_.size(); ++i) {
             if (i == index)
                 continue;
-            subscribe(index, i); // What this one tells; the others' subscriptions last.
+            subscribe(index, i); // Announced by this control; subscriptions to the others remain.
         }
     }
     auto setDown(std::size_t control, bool down) -> void { controls_[control].down = down; }
-    /// Neither hears the others nor is heard, and gateways reach it all the same.
+    /// Cuts a control off from the other controls; gateways still reach it.
     auto setCut(std::size_t control, bool cut) -> void { controls_[control].cut = cut; }
-    /// Gateways from one on, up to another, reach no control.
+    /// Cuts a range of gateways off from all controls, or reconnects them.
     auto cutGateways(std::size_t from, std::size_t to, bool cut) -> void
     {
         std::fill(cut_.begin() + static_cast<std::ptrdiff_t>(from),
@@ -134,7 +134,7 @@
         }
     }
 
-    /// @return the most admitted in a window, as a part of the most that may be
+    /// @return the most that was admitted in a window, as a fraction of the most that is allowed
     auto fullestWindow(const std::string &name) -> double
     {
         const auto &limit = account(name).limit;
@@ -176,7 +176,7 @@
         bool down = false;
         bool cut = false;
     };
-    /// A caller that was refused, and comes back once when it was told to.
+    /// A caller that was refused, and retries once after the time that it was given.
     struct Return
     {
         const PlayedAccount *account = nullptr;
@@ -253,14 +253,16 @@
             returns_.emplace(clock_.now() + roomIn, Return { &account, cost, work });
     }
 
-    /// @param roomIn set when it is not: the time to come back
+    /// @param roomIn set if it is not admitted: the time after which to retry
     auto isAdmitted(std::size_t gateway, proto::PickRequest &request, Duration &roomIn) -> bool
     {
-        auto &lone = lone_.try_emplace(gateway, gateway::LoneAdmissionOptions { aloneFor }, clock_,
+        auto &localAdmission
+                = localAdmission_
+                          .try_emplace(gateway, gateway::LocalAdmissionOptions { aloneFor }, clock_,
                                        random_)
-                             .first->second;
+                          .first->second;
         auto &charge = *request.charge;
-        charge.admittedAlone = lone.takeUntold(charge.account);
+        charge.admittedAlone = localAdmission.takeUnreported(charge.account);
         const auto name = NodeId { "g" + std::to_string(gateway) };
         for (auto i = std::size_t { 0 }; !cut_[gateway] && i < controls_.size(); ++i) {
             if (controls_[i].down)
@@ -269,15 +271,15 @@
             if (refusal && refusal->refusal == proto::PickRefusal::CannotCount)
                 continue;
             const auto isNear = refusal || controls_[i].ledger->isNearLimit(request);
-            lone.onCounted(charge.account, refusal ? 0 : charge.cost, isNear);
+            localAdmission.onCounted(charge.account, refusal ? 0 : charge.cost, isNear);
             if (refusal)
                 roomIn = std::chrono::milliseconds { refusal->comeBackMs };
             return !refusal;
         }
-        lone.putBackUntold(charge.account, charge.admittedAlone);
-        const auto comeBack = lone.admit(charge);
-        roomIn = comeBack.value_or(Duration {});
-        return !comeBack;
+        localAdmission.restoreUnreported(charge.account, charge.admittedAlone);
+        const auto retryAfter = localAdmission.admit(charge);
+        roomIn = retryAfter.value_or(Duration {});
+        return !retryAfter;
     }
 
     ManualClock clock_;
@@ -288,9 +290,9 @@
     std::vector<Control> controls_ { 3 };
     std::vector<proto::PeerPointer> peers_;
     std::deque<News> news_;
-    std::map<std::size_t, gateway::LoneAdmission> lone_; ///< By gateway.
+    std::map<std::size_t, gateway::LocalAdmission> localAdmission_; ///< One for each gateway.
     std::map<std::string, std::vector<Admitted>> admitted_;
-    std::map<std::string, std::size_t> refused_; ///< For good.
+    std::map<std::string, std::size_t> refused_; ///< Requests that were finally refused.
     std::multimap<Instant, Return> returns_;
     std::uint64_t ticket_ = 0;
     std::size_t messages_ = 0;
@@ -298,7 +300,7 @@
     Instant begun_ {};
 };
 
-/// Limits are 1.8 times what accounts use, and 18,000 at least.
+/// Limits are 1.8 times what accounts use, but at least 18,000.
 auto accountOf(const std::string &name, double asks, double times) -> PlayedAccount
 {
     constexpr auto room = 1.8;
@@ -313,12 +315,12 @@
              accountOf("middle", 30'000, 1), accountOf("small", 8000, 1) };
 }
 
-/// Of requests below their limit so many may be refused by chance: some large ones of a small
-/// account that come together.
+/// Fraction of requests below their limit that may be refused by chance, when several large
+/// requests of a small account arrive together.
 constexpr auto seldom = 0.005;
 
-/// What the accounts get that stay below their limits, over all plays: one request of a small
-/// account in a single play would be more than seldom.
+/// Results of the accounts that stay below their limits, summed over all simulations: in a single
+/// one, one refused request of a small account would already exceed the allowed fraction.
 struct Others
 {
     auto check(Play &play) -> void
@@ -337,7 +339,8 @@
 
 } // namespace
 
-TEST_CASE("An account that asks for six times its usual gets its limit; others notice nothing")
+TEST_CASE("An account that asks for six times its usual rate gets its limit, and others are not "
+          "affected")
 {
     for (const auto gateways : { std::size_t { 76 }, std::size_t { 1700 } }) {
         for (auto seed = std::uint64_t { 1 }; seed <= 4; ++seed) {
@@ -354,7 +357,8 @@
     }
 }
 
-TEST_CASE("Nothing is added to a request's way but to two other controls, seventeen times a second")
+TEST_CASE(
+        "A request needs no additional messages, except to two other controls 17 times per second")
 {
     auto play = Play { 76, fourAccounts(1), 1 };
     play.run(20s);
@@ -362,7 +366,7 @@
     CHECK(play.requests() > 500);
 }
 
-TEST_CASE("The control that counts is lost, and starts anew: the limit holds over all of them")
+TEST_CASE("The limit holds across all gateways when the control that counts is lost and restarts")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 6; ++seed) {
         CAPTURE(seed);
@@ -371,14 +375,14 @@
         play.setDown(0, true);
         play.run(3s);
         play.startControl(0);
-        play.setDown(0, false); // Gateways turn to it at once.
+        play.setDown(0, false); // Gateways use it again immediately.
         play.run(12s);
         CHECK(play.fullestWindow("hot") <= 1);
         others.check(play);
     }
 }
 
-TEST_CASE("A control that does not hear the others counts for nobody")
+TEST_CASE("A control that is cut off from the others counts for no gateway")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 6; ++seed) {
         CAPTURE(seed);
@@ -393,7 +397,7 @@
     }
 }
 
-TEST_CASE("Gateways that are cut off go on for a while, and the limit holds over all")
+TEST_CASE("Gateways that are cut off continue for a while, and the limit holds across all gateways")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 6; ++seed) {
         for (const auto cut : { std::size_t { 15 }, std::size_t { 38 }, std::size_t { 76 } }) {
@@ -412,8 +416,9 @@
     }
 }
 
-TEST_CASE("A limit that is lowered far below what is asked for binds one window later; raised, at "
-          "once")
+TEST_CASE(
+        "A limit that is lowered far below the demand takes effect one window later, and a raised "
+        "limit immediately")
 {
     auto play = Play { 76, fourAccounts(1), 3 };
     play.run(15s);
@@ -435,7 +440,7 @@
     others.check(play);
 }
 
-TEST_CASE("Over all these plays accounts below their limit are not refused for it")
+TEST_CASE("Over all these simulations, accounts below their limit are not refused because of it")
 {
     for (const auto &item : others.asked) {
         const auto refused = others.refused[item.first];
--- a/gateway/testing/tst_accounts.cpp
+++ b/gateway/testing/tst_accounts.cpp
@@ -1,4 +1,4 @@
-// Who a request is of: what callers with and without keys get, and what endpoints see of it.
+// Accounts: what callers with and without keys get, and what endpoints are told about the account.
 
 #include <doctest/doctest.h>
 
@@ -40,7 +40,7 @@
     return request;
 }
 
-/// A balancer that counts, as the test says.
+/// A balancer that counts, and answers as the test specifies.
 struct Counting
 {
     auto link() -> BalancerLink
@@ -57,7 +57,7 @@
         link.end = [this](const Address &, proto::PickEnd end) { ended.push_back(end); };
         return link;
     }
-    std::optional<proto::PickReply> advice; ///< Nothing: no answer in time.
+    std::optional<proto::PickReply> advice; ///< Empty if it does not answer in time.
     std::vector<proto::PickRequest> asked;
     std::vector<proto::PickEnd> ended;
 };
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("A caller is known by its key alone, and the key goes no further")
+TEST_CASE("A caller is identified by its key alone, and the key is not forwarded")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -85,10 +85,10 @@
     CHECK(endpoint.seen[0].header("X-Rank") == "0");
     CHECK(rig.call(requestWith("/once/x", "k-mason")).status == 200);
     CHECK(endpoint.seen[1].header("X-Owner") == "mason");
-    CHECK(endpoint.seen[1].header("X-Rank") == "3"); // The account's goes before the route's.
+    CHECK(endpoint.seen[1].header("X-Rank") == "3"); // The account's rank, not the route's.
 }
 
-TEST_CASE("Without a key of an account nothing runs, but on public routes")
+TEST_CASE("Without a key of an account, requests run only on public routes")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -96,7 +96,7 @@
     rig.forwarder.setCatalogue(withAccounts());
     CHECK(rig.call(requestWith("/once/x", "k-nobody")).status == 401);
     CHECK(rig.call(requestWith("/once/x", "")).status == 401);
-    CHECK(rig.call(requestWith("/nowhere/x", "k-nobody")).status == 503); // No route comes first.
+    CHECK(rig.call(requestWith("/nowhere/x", "k-nobody")).status == 503); // Route is checked first.
     CHECK(endpoint.seen.empty());
     CHECK(rig.demand.take().rows.empty());
     CHECK(rig.call(requestWith("/idem/x", "")).status == 200);
@@ -108,7 +108,7 @@
     CHECK(endpoint.seen.back().header("X-Owner") == "clerk");
 }
 
-TEST_CASE("Where there are no accounts, what callers say of themselves goes on")
+TEST_CASE("Without accounts, the headers that identify callers are forwarded")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -118,7 +118,7 @@
     CHECK(endpoint.seen[0].header("X-Owner").empty());
 }
 
-TEST_CASE("A key that is taken away, and one that is added, count from the document on")
+TEST_CASE("Removed and added keys take effect with the document")
 {
     auto rig = Rig {};
     rig.addEndpoint("i-1").handler = answering("one");
@@ -132,7 +132,7 @@
     CHECK(rig.call(requestWith("/once/x", "k-clerk-2")).status == 200);
 }
 
-TEST_CASE("Without proof that keys are current no work with keys is taken, and it is said honestly")
+TEST_CASE("Without proof that keys are current, requests with keys are refused with that reason")
 {
     auto options = ForwarderOptions {};
     options.awaitKeys = {};
@@ -143,17 +143,17 @@
     const auto got = rig.call(requestWith("/once/x", "k-clerk"));
     CHECK(got.status == 503);
     CHECK_FALSE(http::findHeader(got.headers, "X-Come-Back").empty());
-    // Nor can it be told that a key is unknown.
+    // It cannot be decided that a key is unknown, either.
     CHECK(rig.call(requestWith("/once/x", "k-nobody")).status == 503);
     CHECK(endpoint.seen.empty());
-    CHECK(rig.call(requestWith("/idem/x", "")).status == 200); // Public.
+    CHECK(rig.call(requestWith("/idem/x", "")).status == 200); // The route is public.
     rig.keys.onInForce(Revision { 2 });
     rig.keys.onProof(rig.keys.ask(), Revision { 2 });
     CHECK(rig.call(requestWith("/once/x", "k-clerk")).status == 200);
     CHECK(rig.call(requestWith("/once/x", "k-nobody")).status == 401);
 }
 
-TEST_CASE("A request right after the start waits for the proof")
+TEST_CASE("A request that arrives right after the start waits for the proof")
 {
     auto options = ForwarderOptions {};
     options.awaitKeys = 10s;
@@ -170,7 +170,7 @@
     CHECK((*got)->status == 200);
 }
 
-TEST_CASE("A request of an account with a limit is counted once, with its pick")
+TEST_CASE("A request of an account with a limit is counted once, together with its pick")
 {
     auto counting = Counting {};
     auto rig = Rig { {}, counting.link() };
@@ -185,13 +185,14 @@
     CHECK(counting.asked[0].charge->version == Revision { 2 });
     REQUIRE(counting.ended.size() == 1);
     CHECK(counting.ended[0].mayHaveRun);
-    // One without a limit is not.
+    // A request of an account without a limit is not counted.
     CHECK(rig.call(requestWith("/once/x", "k-clerk")).status == 200);
     for (std::size_t i = 1; i < counting.asked.size(); ++i)
         CHECK_FALSE(counting.asked[i].charge.has_value());
 }
 
-TEST_CASE("What did not run is given back, and counted anew where it goes next")
+TEST_CASE("The charge of a request that did not run is returned, and counted again for the next "
+          "dispatch")
 {
     auto counting = Counting {};
     auto rig = Rig { {}, counting.link() };
@@ -206,7 +207,7 @@
     CHECK(counting.asked[1].charge.has_value());
 }
 
-TEST_CASE("Beyond its limit a caller is told at once when to come back, and is no demand")
+TEST_CASE("A caller over its limit is immediately told when to retry, and does not count as demand")
 {
     auto counting = Counting {};
     auto rig = Rig { {}, counting.link() };
@@ -215,11 +216,11 @@
     rig.forwarder.setCatalogue(withAccounts(true));
     counting.advice = overLimit(1700);
     auto request = requestWith("/once/x", "k-mason");
-    SUBCASE("an endpoint holds its model")
+    SUBCASE("an endpoint holds the model")
     {
         request.headers.push_back({ "X-Model", "m0" });
     }
-    SUBCASE("none does: it is not loaded for a request that may not run")
+    SUBCASE("no endpoint holds the model: it is not loaded for a request that may not run")
     {
         request.headers.push_back({ "X-Model", "m1" });
     }
@@ -232,7 +233,8 @@
     CHECK(rig.demand.take().rows.empty());
 }
 
-TEST_CASE("Without a balancer an account is served a little, and then told so")
+TEST_CASE("Without a balancer, an account is served to a small extent, and then refused with that "
+          "reason")
 {
     auto counting = Counting {};
     auto rig = Rig { {}, counting.link() };
@@ -245,7 +247,7 @@
     CHECK(got.status == 503);
     CHECK_FALSE(http::findHeader(got.headers, "X-Come-Back").empty());
     CHECK(endpoint.seen.size() == 1);
-    // What it admitted by itself is told with the next question that is answered.
+    // Locally admitted charges are reported with the next request that a balancer answers.
     counting.advice = proto::PickReply { EndpointId { "i-1" }, 0, 0, 0, {} };
     counting.asked.clear();
     CHECK(rig.call(requestWith("/once/x", "k-mason")).status == 200);
--- a/gateway/testing/tst_answers.cpp
+++ b/gateway/testing/tst_answers.cpp
@@ -1,4 +1,4 @@
-// Reading of endpoints' answers.
+// Parsing of endpoints' answers.
 
 #include <doctest/doctest.h>
 
@@ -7,7 +7,7 @@
 using namespace figrack;
 using namespace figrack::gateway;
 
-TEST_CASE("An event's id is found in any of its lines, with either line end")
+TEST_CASE("An event's ID is found in any of its lines, with either line ending")
 {
     CHECK(eventId("id: 12\ndata: x\n\n") == "12");
     CHECK(eventId("data: x\r\nid:7\r\n\r\n") == "7");
@@ -15,7 +15,7 @@
     CHECK(eventId("").empty());
 }
 
-TEST_CASE("An event is old when its number is not after the last one given")
+TEST_CASE("An event is old if its number is not higher than that of the last event sent")
 {
     CHECK(isOldEvent("9", "10"));
     CHECK(isOldEvent("10", "10"));
@@ -25,7 +25,7 @@
     CHECK_FALSE(isOldEvent("", "5"));
 }
 
-TEST_CASE("Headers of one connection and of the body's framing do not go on")
+TEST_CASE("Headers that apply to one connection or to the framing of the body are not forwarded")
 {
     const auto headers = endToEnd({ { "Content-Type", "text/plain" },
                                     { "connection", "close" },
@@ -37,7 +37,7 @@
     CHECK(http::findHeader(headers, "X-Own") == "1");
 }
 
-TEST_CASE("Streams and successes are told by type and status")
+TEST_CASE("Streams and successes are recognized by content type and status")
 {
     CHECK(isEventStream({ { "Content-Type", "text/event-stream; charset=utf-8" } }));
     CHECK_FALSE(isEventStream({ { "Content-Type", "text/plain" } }));
--- a/gateway/testing/tst_controlfeed.cpp
+++ b/gateway/testing/tst_controlfeed.cpp
@@ -9,7 +9,7 @@
 using namespace figrack::gateway::testing;
 using namespace std::chrono_literals;
 
-TEST_CASE("All gateways ask the same control, and never the leader while there is another")
+TEST_CASE("All gateways ask the same control, and the leader only if there is no other")
 {
     for (const auto *leader : { "n1", "n2", "n3" }) {
         auto rig = FeedRig { leader };
@@ -20,7 +20,7 @@
     }
 }
 
-TEST_CASE("A control that does not answer is left out for a pause, and its booking is ended")
+TEST_CASE("A control that does not answer is not asked for a while, and its booking is ended")
 {
     auto rig = FeedRig { "n3" };
     auto &feed = rig.addFeed("g1");
@@ -37,7 +37,8 @@
     CHECK(rig.pick(feed) == first);
 }
 
-TEST_CASE("The leader balances when it alone is connected; without a control nobody does")
+TEST_CASE("The leader balances if it is the only control connected; without a control there is no "
+          "balancer")
 {
     auto rig = FeedRig { "n3" };
     auto &feed = rig.addFeed("g1");
@@ -51,7 +52,7 @@
     CHECK_FALSE(feed.balancerLink().tell({}));
 }
 
-TEST_CASE("All controls are told of suspected work, also one whose connection opens later")
+TEST_CASE("Suspected work is sent to all controls, also to one that connects later")
 {
     auto rig = FeedRig { "n1" };
     rig.controls.at("n2")->suspects.resize(2);
--- a/gateway/testing/tst_endingwatch.cpp
+++ b/gateway/testing/tst_crashdetector.cpp
@@ -1,10 +1,11 @@
-// The watch alone, before real sockets. This program is built with the address sanitizer and with
-// coroutine frames that are freed at once, so that a handler that outlives what it uses is seen.
+// The crash detector alone, with real sockets. This program is built with the address sanitizer,
+// and coroutine frames are freed immediately, so that a handler that uses freed objects is
+// detected.
 //
-// The story: an endpoint's connection broke while the gateway's VM was suspended. When it went on,
-// the dial that was to find out whether the endpoint had ended was decided, and its time had run
-// out, in one turn of the loop. The dial's coroutine ended first; the timer's handler, which had
-// been queued with it, then closed a socket that was gone.
+// Guards against a use after free: when the gateway's VM had been suspended during a connection
+// attempt to an endpoint, the attempt completed and its timer expired in the same event loop
+// iteration. The coroutine ended first, and the timer's handler, which was already queued, closed a
+// destroyed socket.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -13,7 +14,7 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
-#include "gateway/endingwatch.h"
+#include "gateway/crashdetector.h"
 
 using namespace figrack;
 using namespace figrack::gateway;
@@ -22,10 +23,10 @@
 
 namespace {
 
-struct WatchRig
+struct DetectorRig
 {
-    explicit WatchRig(EndingWatchOptions options)
-        : watch(options, { context, clock, view, quarantine, metrics }, [] {})
+    explicit DetectorRig(CrashDetectorOptions options)
+        : detector(options, { context, clock, view, quarantine, metrics }, [] {})
     { }
 
     auto tell(const EndpointId &id, std::uint16_t port) -> void
@@ -46,7 +47,7 @@
     FleetView view { {}, clock };
     policy::Quarantine quarantine { {} };
     Metrics metrics;
-    EndingWatch watch;
+    CrashDetector detector;
 };
 
 auto brokenWork() -> SuspectWork
@@ -57,23 +58,24 @@
 
 } // namespace
 
-TEST_CASE("A dial that is decided as its time runs out leaves nothing behind")
+TEST_CASE("A connection attempt that completes as its timeout expires leaves no dangling handler")
 {
-    auto options = EndingWatchOptions {};
+    auto options = CrashDetectorOptions {};
     options.dialTimeout = 1ms;
-    auto rig = WatchRig { options };
+    auto rig = DetectorRig { options };
     auto listener = tcp::acceptor { rig.context, tcp::endpoint { tcp::v4(), 0 } };
     constexpr auto tries = 20;
     for (auto i = 0; i < tries; ++i) {
         const auto id = EndpointId { "i-" + std::to_string(i) };
         rig.tell(id, listener.local_endpoint().port());
-        rig.watch.note(id, brokenWork());
-        // The dial begins; then the VM stands still until both its ends are due.
+        rig.detector.note(id, brokenWork());
+        // The connection attempt starts; then the VM is suspended until both the connection and the
+        // timer are due.
         rig.context.restart();
         rig.context.poll_one();
         std::this_thread::sleep_for(5ms);
         rig.context.restart();
         rig.context.run_for(5ms);
     }
-    CHECK(rig.quarantine.size() == 0); // The endpoints listen.
+    CHECK(rig.quarantine.size() == 0); // The endpoints are listening.
 }
--- a/gateway/testing/tst_documentfeed.cpp
+++ b/gateway/testing/tst_documentfeed.cpp
@@ -1,4 +1,4 @@
-// How a gateway comes by a new configuration document, over loopback channels.
+// How a gateway fetches a new configuration document, over loopback channels.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 using namespace figrack::gateway::testing;
 using namespace std::chrono_literals;
 
-TEST_CASE("A document that takes longer than the first timeout comes all the same")
+TEST_CASE("A document whose transfer takes longer than the first timeout still arrives")
 {
     auto rig = FeedRig { "n3" };
     for (auto &[name, control] : rig.controls) {
@@ -24,16 +24,14 @@
     CHECK(rig.documents.size() == 1);
 }
 
-// What users saw: some seconds after an operator had been told that a change is accepted, single
-// gateways still went by the document before it; a route that had been added was answered by 404.
-// Order of events: the change is committed and announced by all controls; the gateway asks one
-// control for the document; that control stands still, or the connection to it has gone silent, or
-// the gateway's slow link has made it wait longer and longer before; the others would answer at
-// once and are not asked until the first one's time is over, which grows to 3.2 s.
-// Cause: one question at a time under one timer, which cannot tell a slow transfer from a dead
-// control. Evidence: each of the three controls is the silent one in turn, with a time of ten
-// minutes; the gateway that has chosen it has no document although two controls hold it.
-TEST_CASE("A control that does not answer keeps no gateway from a document that others hold")
+// Guards against gateways that still use the old document seconds after a change was accepted, so
+// that a newly added route is answered with 404. This happened when the control that a gateway had
+// asked hung, or its connection had gone silent, or a slow link had increased the timeout (up to
+// 3.2 s): with one request at a time under one timer, a slow transfer could not be told from a dead
+// control, and the other controls, which would have answered, were not asked until the timeout.
+// In the test, each of the three controls in turn does not answer, with a timeout of ten minutes.
+TEST_CASE("A control that does not answer does not prevent a gateway from fetching a document from "
+          "others")
 {
     for (const auto *silent : { "n1", "n2", "n3" }) {
         auto rig = FeedRig { "n3" };
--- a/gateway/testing/tst_documentfetch.cpp
+++ b/gateway/testing/tst_documentfetch.cpp
@@ -1,6 +1,6 @@
-// A gateway's way to new documents in virtual time: nine controls, of which some
-// stand still, lag or lose their connections, before a link of 10 Mbit/s that also
-// carries callers' answers, and documents of 300 KB.
+// Fetching of new documents in virtual time. There are nine controls, some of which hang, lag or
+// lose their connections, a link of 10 Mbit/s that also carries callers' answers, and documents of
+// 300 KB.
 
 #include <doctest/doctest.h>
 
@@ -20,14 +20,14 @@
 
 namespace {
 
-constexpr auto bytesPerMs = 1250.0; ///< Of the gateway's link: 10 Mbit/s.
+constexpr auto bytesPerMs = 1250.0; ///< Speed of the gateway's link: 10 Mbit/s.
 constexpr auto oneWay = std::chrono::microseconds { 1400 };
 constexpr auto routeBytes = std::size_t { 200 };
 constexpr auto textBytes = std::size_t { 300'000 };
-/// A change must be in force everywhere within 2.0 s, and the controls need a part of it.
+/// A change must be in force everywhere within 2.0 s, of which the controls need a part.
 constexpr auto mustBeInForceWithin = 1500ms;
 
-/// @return a text that differs from that of another version in its head and in one place
+/// @return a text that differs between versions only in its head and in one other place
 auto makeText(Revision version) -> std::string
 {
     auto random = Random { 3 };
@@ -63,7 +63,7 @@
     }
 
     auto size() const -> std::size_t { return controls_.size(); }
-    /// A control applies a document and says so.
+    /// A control applies a document and announces it.
     auto publish(std::size_t index, Revision version) -> void
     {
         auto &control = controls_[index];
@@ -76,20 +76,20 @@
         for (auto i = std::size_t { 0 }; i < size(); ++i)
             publish(i, version);
     }
-    /// It answers nothing and says nothing until then.
+    /// The control sends nothing until the given time.
     auto freeze(std::size_t index, Instant until) -> void { controls_[index].frozenUntil = until; }
     auto isFrozen(std::size_t index) const -> bool
     {
         return clock_.now() < controls_[index].frozenUntil;
     }
-    /// What was on its way is lost; the next connection stands some milliseconds later.
+    /// Messages in transit are lost; the next connection is established a few milliseconds later.
     auto reset(std::size_t index) -> void
     {
         ++controls_[index].connection;
         fetch_.onLost(controls_[index].address);
         at(clock_.now() + 20ms, [this, index] { announce(index); });
     }
-    /// Callers' answers fill the link for so long.
+    /// Callers' answers occupy the link for the given time.
     auto useLink(Duration busy) -> void
     {
         linkFreeAt_ = std::max(linkFreeAt_, clock_.now()) + busy;
@@ -100,8 +100,8 @@
         pump();
         while (true) {
             auto next = events_.empty() ? end : std::min(end, events_.begin()->first);
-            if (const auto look = fetch_.nextLook())
-                next = std::min(next, std::max(*look, clock_.now() + 1ms));
+            if (const auto nextCheck = fetch_.nextCheckAt())
+                next = std::min(next, std::max(*nextCheck, clock_.now() + 1ms));
             clock_.advanceTo(std::max(next, clock_.now()));
             if (!events_.empty() && events_.begin()->first <= clock_.now())
                 events_.extract(events_.begin()).mapped()();
@@ -210,7 +210,7 @@
 
 } // namespace
 
-TEST_CASE("A change costs the blocks that differ, a first document all of them")
+TEST_CASE("A change transfers only the blocks that differ, and a first document all blocks")
 {
     auto world = World { controlCount };
     world.publishAtAll(Revision { 1 });
@@ -223,11 +223,11 @@
         world.run(500ms);
         REQUIRE(world.inForce() == Revision { version });
     }
-    // Ten whole documents are 3,000 KB.
+    // Ten complete documents would be 3,000 KB.
     CHECK(world.bytesSent() - before < 150'000);
 }
 
-TEST_CASE("Controls that stand still delay a change by little, however many did before")
+TEST_CASE("Controls that hang delay a change only slightly, however many have hung before")
 {
     for (auto frozen = std::size_t { 0 }; frozen <= 4; ++frozen) {
         auto world = World { controlCount };
@@ -239,13 +239,13 @@
         world.run(mustBeInForceWithin);
         CHECK(world.inForce() == Revision { 2 });
         world.publishAtAll(Revision { 3 });
-        // Those that did not answer are not asked again.
+        // Controls that did not answer are not asked again.
         world.run(100ms);
         CHECK(world.inForce() == Revision { 3 });
     }
 }
 
-TEST_CASE("A control that cannot be asked is asked again after a pause, and not at once")
+TEST_CASE("A control that cannot be asked is asked again after a pause, not immediately")
 {
     auto clock = ManualClock {};
     auto fetch = DocumentFetch { {}, 17, clock };
@@ -255,12 +255,13 @@
         REQUIRE(fetch.next().size() == 1);
         fetch.onFailed(control);
         CHECK(fetch.next().empty());
-        REQUIRE(fetch.nextLook().has_value());
-        clock.advanceTo(*fetch.nextLook());
+        REQUIRE(fetch.nextCheckAt().has_value());
+        clock.advanceTo(*fetch.nextCheckAt());
     }
 }
 
-TEST_CASE("Changes that come faster than the link carries them do not keep a gateway from all")
+TEST_CASE("Changes that come faster than the link can transfer them do not prevent a gateway from "
+          "updating")
 {
     auto world = World { controlCount };
     world.publishAtAll(Revision { 1 });
@@ -275,7 +276,8 @@
     CHECK(world.inForce() == Revision { 199 });
 }
 
-TEST_CASE("A gateway that starts goes by what a majority holds, not by the first that speaks")
+TEST_CASE("A starting gateway uses the document of a majority, not that of the first control to "
+          "announce")
 {
     auto world = World { controlCount };
     world.publish(3, Revision { 4 });
@@ -287,21 +289,21 @@
     CHECK(world.history() == std::vector { Revision { 7 } });
 }
 
-TEST_CASE("A gateway that starts before a single control has a document all the same")
+TEST_CASE("A starting gateway with a single reachable control still fetches a document")
 {
     auto world = World { controlCount };
     world.publish(3, Revision { 4 });
-    world.run(DocumentFetchOptions {}.startPatience + 500ms);
+    world.run(DocumentFetchOptions {}.majorityTimeout + 500ms);
     CHECK(world.inForce() == Revision { 4 });
 }
 
-TEST_CASE("An older document than the one begun is taken when nobody in reach holds that")
+TEST_CASE("An older document is fetched if no reachable control holds the one that was started")
 {
     auto world = World { controlCount };
     world.publishAtAll(Revision { 1 });
     world.run(2s);
     world.publish(0, Revision { 3 });
-    // Until its manifest is there, and no block.
+    // Until its manifest has arrived, but no block.
     world.run(8ms);
     world.freeze(0, world.clock().now() + 1h);
     world.reset(0);
@@ -311,7 +313,8 @@
     CHECK(world.inForce() == Revision { 2 });
 }
 
-TEST_CASE("Whatever controls and links do, a change that most hold is soon in force")
+TEST_CASE(
+        "Whatever faults controls and links have, a change that a majority holds is soon in force")
 {
     for (auto seed = 1U; seed <= 40; ++seed) {
         CAPTURE(seed);
@@ -323,7 +326,7 @@
         for (auto round = 0; round < 40; ++round) {
             version = Revision { version.value() + 1 + random.below(3) };
             for (auto i = std::size_t { 0 }; i < controlCount; ++i) {
-                // A minority lags; at most two stand still, as two may be lost.
+                // A minority lags; at most two hang, since up to two controls may fail.
                 if (i < 5 || random.chance(0.7))
                     world.publish(i, version);
                 if (i < 2 && random.chance(0.2))
--- a/gateway/testing/tst_documentproof.cpp
+++ b/gateway/testing/tst_documentproof.cpp
@@ -1,11 +1,10 @@
-// Keys that are taken away, and gateways that no control reaches: the whole way of a proof in
-// virtual time, without a network. Voters, rounds and leases are the product's; a small log stands
-// in for the replicated one (stored, committed by a majority, truncated, kept over a loss of
-// power).
+// Revoked keys at gateways that cannot reach any control: the complete path of a proof in virtual
+// time, without a network. Voters, rounds and leases are those of the product. A small log replaces
+// the replicated one (stored, committed by a majority, truncated, kept over a power loss).
 //
-// Checked at every step: no gateway relies on keys later than revokeWithin after a newer document
-// was accepted, whatever is cut, stands still or starts anew. Each mechanism is also broken on
-// purpose, and a run must show it.
+// Checked at every step: no gateway accepts keys for longer than revokeWithin after a newer
+// document was accepted, whatever is cut off, hangs or restarts. Each mechanism is also broken on
+// purpose, and a run must detect that.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -40,22 +39,23 @@
 constexpr auto controlCount = std::size_t { 5 };
 constexpr auto gatewayCount = std::size_t { 6 };
 constexpr auto majority = controlCount / 2 + 1;
-/// No two clocks' rates differ by more; half of it on each side.
+/// Maximum difference between the rates of any two clocks; half of it in each direction.
 constexpr auto clockDrift = 0.01;
 
-/// What is broken on purpose.
+/// The mechanism that is broken on purpose.
 enum class Break : std::uint8_t {
     Nothing,
-    AgeFromAnswer,    ///< A proof's age counts from its answer.
-    CommittedOnly,    ///< Voters require what they know to be committed, not what they have stored.
-    OneVoterSuffices, ///< No majority is waited for.
-    DemandIgnored,    ///< A proof counts whatever document is in force.
-    StandsStill,      ///< The gateway's clock stands still while its VM is suspended.
-    ForgetsAtRestart, ///< A voter requires nothing of what its disk holds after a restart.
-    ProofFromStart,   ///< A gateway that starts is taken to have proof.
+    AgeFromAnswer, ///< The age of a proof is measured from its answer.
+    CommittedOnly, ///< Voters demand the document they know to be committed, not the one they have
+                   ///< stored.
+    OneVoterSuffices, ///< The answer of one voter is taken as a majority.
+    DemandIgnored,    ///< A proof counts regardless of the document in force.
+    StandsStill,      ///< The gateway's clock stops while its VM is suspended.
+    ForgetsAtRestart, ///< After a restart, a voter ignores what its disk holds.
+    ProofFromStart,   ///< A gateway is assumed to have proof when it starts.
 };
 
-/// A clock of its own rate.
+/// A clock that runs at its own rate.
 class RatedClock final : public Clock
 {
 public:
@@ -88,7 +88,7 @@
         run(2s);
     }
 
-    /// The leader takes a new document in.
+    /// The leader accepts a new document.
     auto change() -> void
     {
         auto &leader = controls_[leader_];
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Another control of the majority side leads; what the former one alone has stored is
-    /// overwritten when that hears of it.
+    /// Another control on the majority side becomes leader. Entries that only the former leader has
+    /// stored are overwritten when it learns of the new one.
     auto changeLeader() -> void
     {
         auto best = leader_;
@@ -126,13 +126,14 @@
     }
 
     auto cutControl(std::size_t control, bool cut) -> void { controls_[control].cut = cut; }
-    /// Neither controls nor gateways reach it, as one whose failure domain is cut off.
+    /// Makes a control unreachable for controls and gateways, as if its failure domain were cut
+    /// off.
     auto darken(std::size_t control, bool dark) -> void
     {
         controls_[control].cut = dark;
         controls_[control].dark = dark;
     }
-    /// A document is accepted, and the others have not heard that it is committed.
+    /// A document is accepted, and the other controls do not know yet that it is committed.
     auto changeUnheard() -> void
     {
         change();
@@ -145,7 +146,7 @@
     {
         gateways_[gateway].suspendedUntil = now_ + duration;
     }
-    /// All lose power; the disk of one control comes back as it was a while ago.
+    /// All controls lose power; the disk of one control returns in an earlier state.
     auto losePowerOfAll() -> void
     {
         messages_.clear();
@@ -175,7 +176,8 @@
     {
         return gateways_[gateway].lease->isCurrent();
     }
-    /// @return steps at which a gateway relied on keys too long after they were taken away
+    /// @return number of steps at which a gateway accepted keys for too long after they were
+    /// revoked
     auto violations() const -> std::size_t { return violations_; }
     auto leader() const -> std::size_t { return leader_; }
     auto random() -> Random & { return random_; }
@@ -189,14 +191,14 @@
     };
     struct Control
     {
-        std::vector<LogEntry> log; ///< On its disk.
+        std::vector<LogEntry> log; ///< Entries on its disk.
         std::size_t committed = 0;
-        Revision document; ///< That it has applied.
+        Revision document; ///< The document that it has applied.
         std::unique_ptr<DocumentVoter> voter;
         std::unique_ptr<DocumentProof> proof;
         bool down = false;
-        bool cut = false;  ///< From the other controls.
-        bool dark = false; ///< From gateways too.
+        bool cut = false;  ///< Cut off from the other controls.
+        bool dark = false; ///< Cut off from the gateways too.
     };
     struct Gateway
     {
@@ -205,7 +207,7 @@
         Revision inForce;
         Instant suspendedUntil {};
         Duration sinceAsked {};
-        bool cut = false; ///< From all controls.
+        bool cut = false; ///< Cut off from all controls.
     };
 
     static auto nameOf(std::size_t control) -> NodeId
@@ -232,7 +234,7 @@
                 || (!controls_[from].cut && !controls_[to].cut && !controls_[from].down
                     && !controls_[to].down);
     }
-    /// @return true when the log of one is newer than that of the other, as a voter judges it
+    /// @return true if the log of one is newer than that of the other by the rule of a voter
     static auto isAhead(const Control &one, const Control &other) -> bool
     {
         const auto termOf = [](const Control &control) {
@@ -254,12 +256,13 @@
         auto &control = controls_[index];
         control.voter = std::make_unique<DocumentVoter>(nameOf(index));
         control.proof = std::make_unique<DocumentProof>(DocumentProofOptions {}, clock_);
-        // Commitment is not on the disk; the document that was applied last is kept beside the log.
+        // The commit index is not stored on disk; the last applied document is stored next to the
+        // log.
         if (broken_ != Break::ForgetsAtRestart && broken_ != Break::CommittedOnly) {
             for (const auto &entry : control.log)
                 control.voter->onStored(entryOf(entry), true);
         }
-        // It remembers no more than what it knew to be committed.
+        // It keeps only what it knew to be committed.
         if (broken_ == Break::ForgetsAtRestart)
             control.voter->onApplied(LogIndex { control.committed }, control.document);
         control.voter->onRecovered();
@@ -291,7 +294,7 @@
             control.voter->onStored(entryOf(entry), true);
     }
 
-    /// Makes a control's log equal to the leader's.
+    /// Copies the leader's log to a control.
     auto replicate(std::size_t from, std::size_t to) -> void
     {
         later([this, from, to] {
@@ -417,7 +420,7 @@
         auto &gateway = gateways_[index];
         if (gateway.cut)
             return;
-        if (now_ < gateway.suspendedUntil) { // Read once it goes on.
+        if (now_ < gateway.suspendedUntil) { // Processed when the VM resumes.
             messages_.push_back({ gateway.suspendedUntil, [this, index, question, demanded] {
                                      onAnswer(index, question, demanded);
                                  } });
@@ -430,7 +433,7 @@
         gateway.lease->onProof(question, demanded);
     }
 
-    /// A document that a control announces comes to the gateway.
+    /// A gateway fetches the document that a control announces.
     auto fetch(std::size_t index, std::size_t control) -> void
     {
         auto &gateway = gateways_[index];
@@ -480,7 +483,7 @@
 
     Random random_;
     Break broken_;
-    ManualClock clock_; ///< Of the controls.
+    ManualClock clock_; ///< Clock of the controls.
     Instant now_ { 24h };
     std::vector<Control> controls_ { controlCount };
     std::vector<Gateway> gateways_ { gatewayCount };
@@ -493,7 +496,8 @@
     std::size_t violations_ = 0;
 };
 
-/// Some seconds of cuts, changes, suspensions and losses of power, by the seed.
+/// Several seconds of network partitions, changes, suspensions and power losses, determined by the
+/// seed.
 auto trouble(World &world) -> void
 {
     auto &random = world.random();
@@ -510,7 +514,7 @@
             break;
         case 3:
             world.cutControl(world.leader(), true);
-            world.change(); // That a minority alone stores.
+            world.change(); // Only a minority stores this change.
             world.changeLeader();
             break;
         case 4:
@@ -528,7 +532,7 @@
     world.run(6s);
 }
 
-/// The leader is lost right after it accepted a document, and no other leads for a while.
+/// The leader is lost right after it accepted a document, and there is no new leader for a while.
 auto loseLeaderAfterAcceptance(World &world, bool losesPower) -> void
 {
     for (std::size_t i = 0; i < controlCount; ++i)
@@ -545,7 +549,7 @@
     world.run(2s);
 }
 
-/// A gateway stands still while an answer is on its way, and documents change meanwhile.
+/// A gateway is suspended while an answer is in transit, and documents change meanwhile.
 auto suspendWithAnswer(World &world) -> void
 {
     for (auto i = 0; i < 6; ++i) {
@@ -579,7 +583,7 @@
 
 } // namespace
 
-TEST_CASE("No gateway relies on keys too long after they were taken away, whatever happens")
+TEST_CASE("No gateway accepts keys for too long after they were revoked, whatever faults occur")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 60; ++seed) {
         CAPTURE(seed);
@@ -589,7 +593,7 @@
     }
 }
 
-TEST_CASE("Each mechanism that is broken on purpose is found out")
+TEST_CASE("Each mechanism that is broken on purpose is detected")
 {
     for (const auto broken : { Break::AgeFromAnswer, Break::CommittedOnly, Break::OneVoterSuffices,
                                Break::DemandIgnored, Break::StandsStill, Break::ForgetsAtRestart,
@@ -599,7 +603,7 @@
     }
 }
 
-TEST_CASE("Gateways in touch rely on their keys all the time, also while documents change")
+TEST_CASE("Connected gateways accept keys without interruption, also while documents change")
 {
     auto world = World { 1, Break::Nothing };
     for (auto i = 0; i < 60; ++i) {
@@ -610,7 +614,8 @@
     }
 }
 
-TEST_CASE("A gateway that is cut off serves for six tenths of the time, and not beyond all of it")
+TEST_CASE("A gateway that is cut off serves for at least six tenths of revokeWithin, and never "
+          "longer than it")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 20; ++seed) {
         CAPTURE(seed);
@@ -657,7 +662,8 @@
     CHECK(again->round == first->round);
     proof.onReply({ NodeId { "b" }, again->round, Revision { 7 }, 3, 1 }, Revision { 7 });
     CHECK(answered == Revision { 7 });
-    // The next gateway's question waits for its own round; without a majority it is told so.
+    // The next gateway's request waits for its own round, and is answered negatively without a
+    // majority.
     answered.reset();
     proof.ask(gateway, 2);
     CHECK_FALSE(proof.nextQuery().has_value());
--- a/gateway/testing/tst_endpointbackoff.cpp
+++ b/gateway/testing/tst_endpointbackoff.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Requests that may still be on their way when an endpoint asks for a backoff.
+/// Requests that may still be in transit when an endpoint asks for a backoff.
 constexpr auto onTheWay = std::size_t { 2 };
 
-/// @return a handler that rejects all and asks for a backoff
+/// @return a handler that rejects all requests and asks for a backoff
 auto backingOff(Duration backoff) -> http::Handler
 {
     return [backoff](const http::Request &request,
@@ -47,7 +47,7 @@
     return text.empty() ? Duration {} : std::chrono::milliseconds { std::stoi(text) };
 }
 
-/// A balancer that advises the first candidate and holds all requests back but the first.
+/// A balancer that picks the first candidate and delays all requests except the first.
 auto holdingLink(Duration hold) -> BalancerLink
 {
     auto link = BalancerLink {};
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("An endpoint that holds a model alone gets no request during a backoff")
+TEST_CASE("The only endpoint that holds a model gets no request during its backoff")
 {
     constexpr auto backoff = 60s;
     auto rig = Rig {};
@@ -78,13 +78,13 @@
         CHECK(got.status == 503);
         CHECK(rig.clock.now() + comeBackOf(got) >= begun + backoff - 1ms);
         CHECK(comeBackOf(got) <= backoff + 1s);
-        // Nothing is waited for: no endpoint could load the model.
+        // The request does not wait, since no endpoint could load the model.
         CHECK(rig.clock.now() < begun + backoff);
     }
     CHECK(endpoint.seen.size() <= 1 + onTheWay);
 }
 
-TEST_CASE("Requests that were held back do not reach an endpoint that asks for a backoff")
+TEST_CASE("Delayed requests do not reach an endpoint that asks for a backoff")
 {
     auto rig = Rig { {}, holdingLink(300ms) };
     rig.forwarder.setCatalogue(testCatalogue(true));
@@ -100,20 +100,21 @@
     CHECK(endpoint.seen.size() <= 1 + onTheWay);
 }
 
-TEST_CASE("Who is refused during a long backoff comes back when a load elsewhere may be done")
+TEST_CASE("A request refused during a long backoff is told to retry when a load elsewhere may be "
+          "done")
 {
     auto catalogue = *testCatalogue(true);
     catalogue.services.front().engine->models.front().loadFromStore = Duration::zero();
     auto rig = Rig {};
     rig.forwarder.setCatalogue(std::make_shared<const catalogue::Catalogue>(catalogue));
     rig.addEndpoint("i-1", { "m0" }).handler = backingOff(24h);
-    rig.addEndpoint("i-2").handler = answering("ok"); // It could load the model, and never does.
+    rig.addEndpoint("i-2").handler = answering("ok"); // It could load the model but never does.
     const auto got = rig.call(modelRequest("r1"));
     CHECK(got.status == 503);
     CHECK(comeBackOf(got) <= 10s);
 }
 
-TEST_CASE("A request waits for the end of a backoff that leaves it time enough")
+TEST_CASE("A request waits for the end of a backoff if it has enough time left")
 {
     constexpr auto backoff = 400ms;
     auto rig = Rig {};
@@ -131,7 +132,8 @@
     CHECK(arrivals[1] - arrivals[0] >= backoff);
 }
 
-TEST_CASE("Without a model too, and when all endpoints back off the first to end is waited for")
+TEST_CASE("Requests without a model wait too, and if all endpoints are in backoff, for the "
+          "earliest end")
 {
     auto rig = Rig {};
     auto &longer = rig.addEndpoint("i-1");
@@ -147,7 +149,7 @@
     CHECK(longer.seen.size() + shorter.seen.size() <= 2 * (1 + onTheWay));
 }
 
-TEST_CASE("A backoff is not shortened, and is over with the incarnation that asked for it")
+TEST_CASE("A backoff is not shortened, and ends with the incarnation that asked for it")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -166,7 +168,7 @@
     view.onSuccess(first);
     clock.advance(8s);
     CHECK_FALSE(view.maySend(first));
-    CHECK(view.unreachable().size() == 1); // Its models are loaded elsewhere when they are wanted.
+    CHECK(view.unreachable().size() == 1); // Its models are loaded elsewhere on demand.
     clock.advance(1s);
     CHECK(view.maySend(first));
     CHECK(view.unreachable().empty());
--- a/gateway/testing/tst_endpointdraining.cpp
+++ b/gateway/testing/tst_endpointdraining.cpp
@@ -1,4 +1,4 @@
-// Endpoints that say in their answers that they leave.
+// Endpoints that state in their answers that they are draining.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// @return a handler that answers and says that the endpoint leaves
+/// @return a handler that answers and states that the endpoint is draining
 auto leaving(std::uint32_t status) -> http::Handler
 {
     return [status](const http::Request &request,
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("An endpoint that says it leaves gets no request after that answer")
+TEST_CASE("An endpoint that states that it is draining gets no request after that answer")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -46,7 +46,8 @@
     for (auto i = 0; i < 8; ++i) {
         const auto id = std::to_string(i);
         CHECK(rig.call(Rig::request("/once/x", "a" + id)).status == 503);
-        // Announcements that left before it knew, or that reach other controls late.
+        // Announcements that were sent before the endpoint was draining, or that reach other
+        // controls late.
         rig.tell("i-1", endpoint.port, 2 + i, EndpointState::Ready);
     }
     CHECK(endpoint.seen.size() == 1);
@@ -56,7 +57,7 @@
     CHECK(endpoint.seen.size() == 1);
 }
 
-TEST_CASE("What an endpoint that leaves holds is loaded elsewhere, and a new incarnation is used")
+TEST_CASE("The models of a draining endpoint are loaded elsewhere, and a new incarnation is used")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
--- a/gateway/testing/tst_endpointrate.cpp
+++ b/gateway/testing/tst_endpointrate.cpp
@@ -1,4 +1,4 @@
-// Endpoints that name the rate of requests that they take from all gateways together.
+// Endpoints that name the rate of requests that they accept from all gateways together.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 
 constexpr auto window = Duration { 4s };
 
-/// @return what an endpoint that named a rate may get in a window
+/// @return the number of requests that an endpoint with a rate may get in a window
 auto allowedInWindow(double perSecond) -> std::size_t
 {
     constexpr auto overage = 1.5;
@@ -32,8 +32,8 @@
     return static_cast<std::size_t>(perSecond * seconds * overage + slack);
 }
 
-/// @param times ascending
-/// @return the most of them in any window
+/// @param times in ascending order
+/// @return the largest number of them in any window
 auto mostInWindow(const std::vector<Instant> &times) -> std::size_t
 {
     auto most = std::size_t { 0 };
@@ -44,7 +44,7 @@
     return most;
 }
 
-/// One balancer for several gateways, which it is a direct call away from.
+/// One balancer for several gateways, which call it directly.
 class SharedBalancer
 {
 public:
@@ -83,7 +83,7 @@
     fleet::Balancer balancer_;
 };
 
-/// @return a handler that notes when it is asked, answers 200 and names a rate
+/// @return a handler that records when it is called, answers 200 and names a rate
 auto namingRate(const std::string &rate, const Clock &clock, std::vector<Instant> &arrivals)
         -> http::Handler
 {
@@ -109,7 +109,7 @@
     return got->value_or(Got {});
 }
 
-/// Gateways that ask for endpoints which all name the same rate, in virtual time.
+/// Simulation, in virtual time, of gateways that use endpoints which all name the same rate.
 class Play
 {
 public:
@@ -128,13 +128,13 @@
             pickers_.back()->setGateways(static_cast<std::uint32_t>(gateways));
         }
     }
-    /// All balancers start anew and know nothing.
+    /// All balancers restart without any state.
     auto startBalancers() -> void
     {
         for (auto &balancer : balancers_)
             balancer = std::make_unique<SharedBalancer>(clock_);
     }
-    /// Endpoints name the rate to every gateway, or that they take any.
+    /// Endpoints tell every gateway their rate, or that they accept any rate.
     auto name(bool isLimited) -> void
     {
         for (auto &entry : entries_) {
@@ -148,7 +148,7 @@
         for (auto &balancer : balancers_)
             balancer->isConnected = connected;
     }
-    /// @param perSecond requests of callers, over all gateways
+    /// @param perSecond rate of requests from callers, over all gateways
     auto run(Duration duration, double perSecond) -> void
     {
         constexpr auto step = Duration { 5ms };
@@ -160,7 +160,7 @@
                 arrive();
         }
     }
-    /// @return the most that any endpoint got in a window
+    /// @return the largest number of requests that any endpoint got in a window
     auto most() const -> std::size_t
     {
         auto result = std::size_t { 0 };
@@ -196,20 +196,20 @@
             able.push_back(entry.get());
         auto picked = Picked {};
         auto work = [&](Picker &picker) -> boost::asio::awaitable<void> {
-            const auto wish = Wish {};
+            const auto criteria = Criteria {};
             auto terms = PickTerms {};
             terms.model = 1;
             terms.places = 96;
             terms.left = 5s;
-            picked = co_await picker.pick(able, wish, terms);
+            picked = co_await picker.pick(able, criteria, terms);
         };
         auto &picker = *pickers_[random_.below(pickers_.size())];
         boost::asio::co_spawn(context_, work(picker), boost::asio::detached);
         context_.restart();
         context_.run();
-        if (picked.comeBack) {
-            CHECK(picked.lack == Lack::Rate);
-            CHECK(*picked.comeBack > Duration::zero());
+        if (picked.retryAfter) {
+            CHECK(picked.blockedBy == BlockedBy::Rate);
+            CHECK(*picked.retryAfter > Duration::zero());
             ++refused_;
             return;
         }
@@ -246,8 +246,8 @@
     auto &endpoint = one.addEndpoint("i-1");
     endpoint.handler = namingRate("1", one.clock, arrivals);
     other.tell("i-1", endpoint.port, 1, catalogue::EndpointState::Ready);
-    SUBCASE("a balancer counts for both") { }
-    SUBCASE("no balancer can be asked")
+    SUBCASE("one balancer counts for both gateways") { }
+    SUBCASE("no balancer is available")
     {
         balancer.isConnected = false;
     }
@@ -267,7 +267,7 @@
     CHECK(refused + arrivals.size() == 2 * calls);
 }
 
-TEST_CASE("A rate is used up evenly, and not exceeded by any number of gateways")
+TEST_CASE("A rate is used evenly, and not exceeded by any number of gateways")
 {
     for (const auto gateways : { 1U, 7U, 76U, 300U }) {
         for (const auto rate : { 0.25, 1.0, 8.0 }) {
@@ -282,7 +282,7 @@
     }
 }
 
-TEST_CASE("A rate holds while balancers are lost, start anew or take one another's place")
+TEST_CASE("A rate holds while balancers are lost, restart or replace one another")
 {
     for (const auto gateways : { 7U, 76U, 300U }) {
         for (const auto rate : { 1.0, 8.0 }) {
@@ -305,12 +305,12 @@
     }
 }
 
-TEST_CASE("What one endpoint may not take goes to the others, and all to it again once it may")
+TEST_CASE("Requests beyond the rate of one endpoint go to others, and return once it has no rate")
 {
     auto play = Play { 7, 2, 5 };
     play.name(true);
     play.run(20s, 9);
-    CHECK(play.served() > 5 * 20 * 1.5); // One endpoint alone takes 5 a second.
+    CHECK(play.served() > 5 * 20 * 1.5); // A single endpoint accepts 5 per second.
     CHECK(play.most() <= allowedInWindow(5));
     play.name(false);
     const auto refused = play.refused();
@@ -318,7 +318,7 @@
     CHECK(play.refused() == refused);
 }
 
-TEST_CASE("Without a balancer an endpoint that takes any rate goes before one that named one")
+TEST_CASE("Without a balancer, an endpoint without a rate is preferred to one with a rate")
 {
     auto rig = Rig {};
     auto arrivals = std::vector<Instant> {};
@@ -329,7 +329,7 @@
     CHECK(arrivals.size() == 1);
 }
 
-TEST_CASE("A rate ends with an answer that names none to a request sent after it was named")
+TEST_CASE("A rate ends with an answer without a rate to a request that was sent after it was named")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -351,7 +351,7 @@
     CHECK_FALSE(view.find(id)->isRateLimited());
 }
 
-TEST_CASE("Requests beyond a rate are demand that lacks a replica")
+TEST_CASE("Requests beyond a rate count as demand for another replica")
 {
     auto rig = Rig {};
     rig.forwarder.setCatalogue(testCatalogue(true));
--- a/gateway/testing/tst_forwarder.cpp
+++ b/gateway/testing/tst_forwarder.cpp
@@ -1,4 +1,4 @@
-// What the gateway does with a request, over loopback sockets.
+// How the forwarder handles requests, over loopback sockets.
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using catalogue::EndpointState;
 
-TEST_CASE("An answer comes back as the endpoint gave it, and names its request")
+TEST_CASE("An answer is relayed unchanged, and identifies its request")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -26,7 +26,7 @@
     CHECK(endpoint.seen[0].header("Host") == "t");
 }
 
-TEST_CASE("A request that an endpoint did not run goes to another one")
+TEST_CASE("A request that an endpoint did not run is sent to another endpoint")
 {
     auto rig = Rig {};
     auto &full = rig.addEndpoint("i-1");
@@ -49,7 +49,7 @@
     CHECK(broken.seen.size() + other.seen.size() == 1);
 }
 
-TEST_CASE("One that may run again is sent again, within its attempts")
+TEST_CASE("A request that may run again is retried within its maximum attempts")
 {
     auto rig = Rig {};
     auto &broken = rig.addEndpoint("i-1");
@@ -62,24 +62,25 @@
     CHECK(broken.seen.size() + other.seen.size() + third.seen.size() == 2);
 }
 
-TEST_CASE("Without an endpoint the refusal comes at once and says when to come back")
+TEST_CASE("Without an endpoint, a request is refused immediately with a time to retry")
 {
     auto rig = Rig {};
     const auto got = rig.call(Rig::request("/once/x", "r1"));
     CHECK(got.status == 503);
-    CHECK(http::findHeader(got.headers, "X-Come-Back") == "1200"); // When one may be heard of.
-    rig.tell("i-1", 1, 1, EndpointState::Ready);                   // Nobody listens there.
+    CHECK(http::findHeader(got.headers, "X-Come-Back") == "1200"); // Time to discover one.
+    rig.tell("i-1", 1, 1, EndpointState::Ready);                   // Nothing listens at this port.
     const auto failed = rig.call(Rig::request("/once/x", "r2"));
     CHECK(failed.status == 503);
     CHECK(http::findHeader(failed.headers, "X-Come-Back") == "300");
 }
 
-TEST_CASE("A request that comes right after the start waits for the first document, and not long")
+TEST_CASE("A request that arrives right after the start waits for the first document, for a "
+          "limited time")
 {
     const auto rig = Rig::withoutDocument();
     const auto begun = rig->clock.now();
     const auto got = rig->begin(Rig::request("/once/x", "r1"));
-    SUBCASE("the document comes")
+    SUBCASE("the document arrives")
     {
         rig->addEndpoint("i-1").handler = answering("ok");
         rig->runUntil([&] { return rig->waiters.size() == 1; });
@@ -87,24 +88,24 @@
         REQUIRE(rig->runUntil([&] { return got->has_value(); }));
         CHECK((*got)->status == 200);
     }
-    SUBCASE("it does not")
+    SUBCASE("the document does not arrive")
     {
         REQUIRE(rig->runUntil([&] { return got->has_value(); }));
         CHECK((*got)->status == 503);
         CHECK(http::findHeader((*got)->headers, "X-Come-Back") == "1200");
         CHECK(rig->clock.now() - begun >= gateway::ForwarderOptions {}.awaitDocument);
-        // Later ones are refused at once.
+        // Later requests are refused immediately.
         CHECK(rig->call(Rig::request("/once/x", "r2")).status == 503);
         CHECK(rig->waiters.size() == 0);
     }
 }
 
-TEST_CASE("A stream that breaks goes on elsewhere only where its route allows it")
+TEST_CASE("A broken stream is resumed at another endpoint only if its route allows that")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
     endpoint.handler = streaming(1, 3, false);
-    SUBCASE("not resumable: cut, and only whole events were given")
+    SUBCASE("not resumable: the stream is cut, and only complete events were sent")
     {
         const auto got = rig.call(Rig::request("/stream/x", "r1"));
         CHECK(got.status == 200);
@@ -112,7 +113,7 @@
         CHECK(got.body.find("e3") != std::string::npos);
         CHECK(got.body.find("99") == std::string::npos);
     }
-    SUBCASE("resumable: each event once, then the true end")
+    SUBCASE("resumable: each event is sent once, and the stream ends properly")
     {
         auto &other = rig.addEndpoint("i-2");
         other.handler = [](const http::Request &request,
@@ -131,7 +132,7 @@
     }
 }
 
-TEST_CASE("An answer that names another request is dropped")
+TEST_CASE("An answer that identifies another request is dropped")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -142,13 +143,13 @@
         const auto answer = answering("late");
         co_await answer(changed, responder);
     };
-    // The only answer is another request's: the request's own never comes.
+    // The only answer belongs to another request; the request's own answer never arrives.
     auto request = Rig::request("/once/x", "r1");
     request.headers.push_back({ "X-Deadline", "200" });
     CHECK(rig.call(std::move(request)).status == 502);
 }
 
-TEST_CASE("When the caller goes, the endpoint's connection is closed")
+TEST_CASE("If the caller disconnects, the endpoint's connection is closed")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -171,7 +172,8 @@
     CHECK(rig.runUntil([&] { return gone; }));
 }
 
-TEST_CASE("A request waits for its model, and is refused at once when it cannot come in time")
+TEST_CASE("A request waits for its model, and is refused immediately if the model cannot be loaded "
+          "in time")
 {
     auto rig = Rig {};
     rig.forwarder.setCatalogue(testCatalogue(true));
@@ -179,20 +181,20 @@
     endpoint.handler = answering("ok");
     auto request = Rig::request("/once/x", "r1");
     request.headers.push_back({ "X-Model", "m0" });
-    SUBCASE("too little time for a load")
+    SUBCASE("there is too little time for a load")
     {
         request.headers.push_back({ "X-Deadline", "2000" });
         const auto begun = rig.clock.now();
         CHECK(rig.call(request).status == 503);
-        CHECK(rig.clock.now() - begun < 1500ms); // Far from the deadline, which would hold it.
-        // What is refused is wanted all the same: the next one shall find the model.
+        CHECK(rig.clock.now() - begun < 1500ms); // Much earlier than its deadline.
+        // A refused request still counts as demand, so that the next one finds the model.
         const auto rows = rig.demand.take().rows;
         REQUIRE(rows.size() == 1);
         CHECK(rows[0].refused == 1);
         CHECK(rows[0].waiting == 0);
-        CHECK(rig.demand.take().rows.empty()); // Told once.
+        CHECK(rig.demand.take().rows.empty()); // It is reported once.
     }
-    SUBCASE("the model comes")
+    SUBCASE("the model is loaded")
     {
         const auto got = rig.begin(request);
         REQUIRE(rig.runUntil([&] { return rig.waiters.size() == 1; }));
@@ -201,19 +203,18 @@
         REQUIRE(rig.runUntil([&] { return got->has_value(); }));
         CHECK((*got)->status == 200);
     }
-    SUBCASE("the process ends before the model can come")
+    SUBCASE("the process ends before the model can be loaded")
     {
         const auto got = rig.begin(request);
         REQUIRE(rig.runUntil([&] { return rig.waiters.size() == 1; }));
-        rig.forwarder.setPlaceBy(rig.clock.now() + 1s);
+        rig.forwarder.setPlacementDeadline(rig.clock.now() + 1s);
         REQUIRE(rig.runUntil([&] { return got->has_value(); }));
         CHECK((*got)->status == 503);
         CHECK_FALSE(http::findHeader((*got)->headers, "X-Come-Back").empty());
     }
 }
 
-TEST_CASE(
-        "A stream that cannot begin before its caller leaves is refused while the caller is there")
+TEST_CASE("A stream that cannot begin before its caller leaves is refused before the caller leaves")
 {
     auto rig = Rig {};
     auto catalogue = *testCatalogue(true);
@@ -223,8 +224,8 @@
     rig.addEndpoint("i-1", { "other" }).handler = answering("ok");
     auto request = Rig::request("/stream/x", "r1");
     request.headers.push_back({ "X-Model", "m0" });
-    SUBCASE("at once, when a load from the store takes longer") { }
-    SUBCASE("when a copy was to load in time, and did not")
+    SUBCASE("immediately, if a load from the store takes longer") { }
+    SUBCASE("later, if a copy was expected to load in time but did not")
     {
         rig.view.find(EndpointId { "i-1" })->row.onDisk = { ModelId { "m0" } };
     }
@@ -232,10 +233,10 @@
     const auto got = rig.call(request);
     CHECK(got.status == 503);
     CHECK_FALSE(http::findHeader(got.headers, "X-Come-Back").empty());
-    CHECK(rig.clock.now() - begun < 5s); // Of the 10 s that the route would let it wait.
+    CHECK(rig.clock.now() - begun < 5s); // The route would allow 10 s.
 }
 
-TEST_CASE("An endpoint that rejects everything is asked a few times only, while others may come")
+TEST_CASE("An endpoint that rejects everything is tried only a few times while others may appear")
 {
     auto rig = Rig {};
     rig.forwarder.setCatalogue(testCatalogue(true));
@@ -264,18 +265,18 @@
     auto &staying = rig.addEndpoint("i-2");
     staying.handler = answering("new");
     rig.tell("i-1", leaving.port, 2, EndpointState::Draining);
-    rig.tell("i-1", leaving.port, 1, EndpointState::Ready); // Late news changes nothing.
+    rig.tell("i-1", leaving.port, 1, EndpointState::Ready); // A delayed announcement has no effect.
     for (auto i = 0; i < 10; ++i)
         CHECK(rig.call(Rig::request("/once/x", "r" + std::to_string(i))).body == "new");
     CHECK(leaving.seen.empty());
 }
 
-// Behind a cut the connections to an endpoint that has crashed do not break: its requests waited
-// until their callers left.
-TEST_CASE("What runs at an incarnation that is over goes on elsewhere where its route allows that")
+// Guards against requests that wait until their callers leave: behind a network partition, the
+// connections to a crashed endpoint do not break.
+TEST_CASE("Requests at a superseded incarnation are retried elsewhere if their route allows that")
 {
     auto rig = Rig {};
-    rig.view.setOnOver([&](const EndpointId &id, catalogue::EndpointState) {
+    rig.view.setOnSuperseded([&](const EndpointId &id, catalogue::EndpointState) {
         rig.forwarder.endDispatches(id);
     });
     auto &old = rig.addEndpoint("i-1#100");
--- a/gateway/testing/tst_keylease.cpp
+++ b/gateway/testing/tst_keylease.cpp
@@ -1,4 +1,4 @@
-// For how long a gateway relies on keys, in virtual time.
+// How long a gateway may rely on its keys, in virtual time.
 
 #include <doctest/doctest.h>
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("Where documents alone decide, no proof is needed")
+TEST_CASE("Without a revocation limit, no proof is needed")
 {
     const auto clock = ManualClock {};
     const auto lease = KeyLease { {}, clock };
@@ -29,8 +29,7 @@
     CHECK(lease.isCurrent());
 }
 
-TEST_CASE(
-        "A gateway that has just started has no proof, and a proof's age begins with its question")
+TEST_CASE("A gateway that has just started has no proof, and a proof's age starts with its request")
 {
     auto rig = LeaseRig {};
     rig.lease.onInForce(Revision { 7 });
@@ -46,7 +45,7 @@
     CHECK_FALSE(rig.lease.isCurrent());
 }
 
-TEST_CASE("A proof counts once the document that it demands is obeyed")
+TEST_CASE("A proof counts once the document that it demands is in force")
 {
     auto rig = LeaseRig {};
     rig.lease.onInForce(Revision { 7 });
@@ -59,7 +58,7 @@
     CHECK_FALSE(rig.lease.isCurrent());
 }
 
-TEST_CASE("What proves nothing, is answered twice or was never asked changes nothing")
+TEST_CASE("Answers that prove nothing, are repeated or were never requested have no effect")
 {
     auto rig = LeaseRig {};
     rig.lease.onInForce(Revision { 7 });
@@ -71,7 +70,7 @@
     const auto early = rig.lease.ask();
     rig.clock.advance(1s);
     rig.lease.onProof(rig.lease.ask(), Revision { 7 });
-    rig.lease.onProof(early, Revision { 7 }); // Older than what is proved; takes nothing back.
+    rig.lease.onProof(early, Revision { 7 }); // Older than the current proof, which stays valid.
     rig.clock.advance(length - 1ms);
     CHECK(rig.lease.isCurrent());
     const auto late = rig.lease.ask();
@@ -80,12 +79,12 @@
     CHECK_FALSE(rig.lease.isCurrent());
 }
 
-TEST_CASE("A gateway that is cut off serves six tenths of the time, whatever was under way")
+TEST_CASE("A gateway that is cut off serves six tenths of the time, whatever was in progress")
 {
     auto rig = LeaseRig {};
     rig.lease.onInForce(Revision { 1 });
     rig.lease.onProof(rig.lease.ask(), Revision { 1 });
-    // The next question has left, and its answer is lost with the cut.
+    // The next request has been sent, and its answer is lost with the connection.
     rig.clock.advance(rig.lease.renewEvery());
     static_cast<void>(rig.lease.ask());
     rig.clock.advance(rig.lease.answerWithin());
--- a/gateway/testing/tst_parts.cpp
+++ b/gateway/testing/tst_parts.cpp
@@ -1,4 +1,4 @@
-// The gateway's decisions on plain tables, in virtual time.
+// The gateway's decision components, in virtual time.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -39,15 +39,15 @@
     return true;
 }
 
-auto chosen(FleetView &view, const Wish &wish, Random &random) -> EndpointEntry *
+auto chosen(FleetView &view, const Criteria &criteria, Random &random) -> EndpointEntry *
 {
-    const auto able = ableEndpoints(view.of(ServiceId { "s" }), wish, always);
-    return able.entries.empty() ? nullptr : chooseAmong(able.entries, wish, random);
+    const auto able = ableEndpoints(view.of(ServiceId { "s" }), criteria, always);
+    return able.entries.empty() ? nullptr : chooseAmong(able.entries, criteria, random);
 }
 
 } // namespace
 
-TEST_CASE("News of an endpoint is taken only when it is newer, and gone stays gone")
+TEST_CASE("An update of an endpoint is applied only if it is newer, and a gone endpoint stays gone")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -63,7 +63,7 @@
     CHECK(view.of(ServiceId { "s" }).empty());
 }
 
-TEST_CASE("An endpoint that fails or falls silent is chosen last")
+TEST_CASE("An endpoint that fails or stops announcing itself is chosen last")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -87,7 +87,7 @@
     CHECK(view.isHealthy(entry));
 }
 
-TEST_CASE("Requests that share a prompt go to one endpoint while it keeps up")
+TEST_CASE("Requests that share a prompt go to the same endpoint unless it is overloaded")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -97,36 +97,38 @@
         view.apply(updateOf({ row }));
     }
     auto random = Random { 1 };
-    auto wish = Wish { ModelId { "m" }, {}, 77, {}, clock.now() };
-    auto *first = chosen(view, wish, random);
+    auto criteria = Criteria { ModelId { "m" }, {}, 77, {}, clock.now() };
+    auto *first = chosen(view, criteria, random);
     REQUIRE(first != nullptr);
     for (auto i = 0; i < 20; ++i)
-        CHECK(chosen(view, wish, random) == first);
+        CHECK(chosen(view, criteria, random) == first);
     first->running = 50;
-    CHECK(chosen(view, wish, random) != first);
+    CHECK(chosen(view, criteria, random) != first);
 }
 
-TEST_CASE("What is lacking is told apart")
+TEST_CASE("The reasons for having no endpoint are distinguished")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
-    const auto lackOf = [&](const Wish &wish) {
-        return ableEndpoints(view.of(ServiceId { "s" }), wish, always).lack;
+    const auto reason = [&](const Criteria &criteria) {
+        return ableEndpoints(view.of(ServiceId { "s" }), criteria, always).blockedBy;
     };
-    CHECK(lackOf({ ModelId { "m" }, {}, 0, {}, clock.now() }) == Lack::Endpoint);
+    CHECK(reason({ ModelId { "m" }, {}, 0, {}, clock.now() }) == BlockedBy::Endpoint);
     view.apply(updateOf({ makeRow("i-1", 1, EndpointState::Ready) }));
-    CHECK(lackOf({ ModelId { "m" }, {}, 0, {}, clock.now() }) == Lack::Nothing);
-    CHECK(lackOf({ ModelId { "m" }, "a1", 0, {}, clock.now() }) == Lack::Nothing);
-    CHECK(lackOf({ ModelId { "m" }, "a2", 0, {}, clock.now() }) == Lack::Adapter);
-    CHECK(lackOf({ ModelId { "n" }, {}, 0, {}, clock.now() }) == Lack::Model);
-    CHECK(lackOf({ {}, {}, 0, { EndpointId { "i-1" } }, clock.now() }) == Lack::Endpoint);
-    // Its only holder failed this request: another load helps, an adapter does not.
-    CHECK(lackOf({ ModelId { "m" }, {}, 0, { EndpointId { "i-1" } }, clock.now() }) == Lack::Model);
-    CHECK(lackOf({ ModelId { "m" }, "a2", 0, { EndpointId { "i-1" } }, clock.now() })
-          == Lack::Model);
+    CHECK(reason({ ModelId { "m" }, {}, 0, {}, clock.now() }) == BlockedBy::Nothing);
+    CHECK(reason({ ModelId { "m" }, "a1", 0, {}, clock.now() }) == BlockedBy::Nothing);
+    CHECK(reason({ ModelId { "m" }, "a2", 0, {}, clock.now() }) == BlockedBy::Adapter);
+    CHECK(reason({ ModelId { "n" }, {}, 0, {}, clock.now() }) == BlockedBy::Model);
+    CHECK(reason({ {}, {}, 0, { EndpointId { "i-1" } }, clock.now() }) == BlockedBy::Endpoint);
+    // The only endpoint with the model failed this request: loading the model elsewhere helps,
+    // loading the adapter does not.
+    CHECK(reason({ ModelId { "m" }, {}, 0, { EndpointId { "i-1" } }, clock.now() })
+          == BlockedBy::Model);
+    CHECK(reason({ ModelId { "m" }, "a2", 0, { EndpointId { "i-1" } }, clock.now() })
+          == BlockedBy::Model);
 }
 
-TEST_CASE("An endpoint at whose address another one is known is not used, until news of it comes")
+TEST_CASE("An endpoint whose address another one uses is not used until it announces itself again")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -140,7 +142,8 @@
     CHECK(view.of(ServiceId { "s" })[0]->row.id == EndpointId { "i-1" });
 }
 
-TEST_CASE("An endpoint that leaves is told to the leader, which may be cut off from whom it told")
+TEST_CASE("A leaving endpoint is reported to the leader, which may not have received its "
+          "announcement")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -150,23 +153,23 @@
     CHECK(view.unreachable() == std::vector { EndpointId { "i-1" } });
 }
 
-TEST_CASE("What an endpoint says it lacks is believed for a while, against its row")
+TEST_CASE("An endpoint that says it lacks a model is believed over its row for a while")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
     view.apply(updateOf({ makeRow("i-1", 1, EndpointState::Ready) }));
     view.onMissing(EndpointId { "i-1" }, ModelId { "m" }, "a1");
-    const auto lackOf = [&](const std::string &adapter) {
-        const auto wish = Wish { ModelId { "m" }, adapter, 0, {}, clock.now() };
-        return ableEndpoints(view.of(ServiceId { "s" }), wish, always).lack;
+    const auto reason = [&](const std::string &adapter) {
+        const auto criteria = Criteria { ModelId { "m" }, adapter, 0, {}, clock.now() };
+        return ableEndpoints(view.of(ServiceId { "s" }), criteria, always).blockedBy;
     };
-    CHECK(lackOf("a1") == Lack::Adapter);
-    CHECK(lackOf("") == Lack::Nothing);
+    CHECK(reason("a1") == BlockedBy::Adapter);
+    CHECK(reason("") == BlockedBy::Nothing);
     clock.advance(2s);
-    CHECK(lackOf("a1") == Lack::Nothing);
+    CHECK(reason("a1") == BlockedBy::Nothing);
 }
 
-TEST_CASE("Repeats stay within a gateway's part of what all may send")
+TEST_CASE("Retries stay within a gateway's part of the common limit")
 {
     auto clock = ManualClock {};
     auto options = RetryWindowOptions {};
@@ -190,7 +193,7 @@
     CHECK(takeAll() == 10);
 }
 
-TEST_CASE("A report of demand counts arrivals once and keeps what waits")
+TEST_CASE("A demand report counts arrivals once and waiting requests each time")
 {
     auto clock = ManualClock {};
     auto demand = Demand { clock };
@@ -198,7 +201,7 @@
     demand.setOnUrgent([&urgent] { ++urgent; });
     const auto target = DemandTarget { ServiceId { "s" }, ModelId { "m" }, "a1" };
     demand.onArrival(target);
-    demand.onLack(target);
+    demand.onWaitBegin(target);
     CHECK(urgent == 1);
     const auto first = demand.take();
     REQUIRE(first.rows.size() == 1);
@@ -207,41 +210,46 @@
     const auto second = demand.take();
     REQUIRE(second.rows.size() == 1);
     CHECK(second.rows[0].arrived == 0);
-    demand.onLackEnd(target);
+    demand.onWaitEnd(target);
     CHECK(demand.take().rows[0].waiting == 0);
     CHECK(demand.take().rows.empty());
 }
 
-TEST_CASE("Of an endpoint that starts again under its name the newest incarnation is in use")
+TEST_CASE("If an endpoint restarts under its name, the newest incarnation is used")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
     auto over = std::vector<EndpointId> {};
-    view.setOnOver([&](const EndpointId &id, catalogue::EndpointState) { over.push_back(id); });
+    view.setOnSuperseded(
+            [&](const EndpointId &id, catalogue::EndpointState) { over.push_back(id); });
     const auto service = ServiceId { "s" };
     view.apply(updateOf({ makeRow("i-1#100", 9, EndpointState::Ready) }));
     view.onFailure(EndpointId { "i-1#100" }, true);
     CHECK(view.apply(updateOf({ makeRow("i-1#200", 1, EndpointState::Ready) })));
     REQUIRE(view.of(service).size() == 1);
     CHECK(view.of(service)[0]->row.id == EndpointId { "i-1#200" });
-    CHECK(view.isHealthy(*view.of(service)[0])); // What the one before did is not held against it.
+    CHECK(view.isHealthy(
+            *view.of(service)[0])); // Failures of the previous incarnation do not count.
     CHECK(over == std::vector { EndpointId { "i-1#100" } });
 
-    // What the one before said arrives late.
+    // A delayed announcement of the previous incarnation.
     for (const auto state : { EndpointState::Ready, EndpointState::Draining, EndpointState::Gone })
         view.apply(updateOf({ makeRow("i-1#100", 10, state), makeRow("i-1#50", 3, state) }));
     REQUIRE(view.of(service).size() == 1);
     CHECK(view.of(service)[0]->row.id == EndpointId { "i-1#200" });
 
-    // Controls found that it is silent, and that one with an earlier clock is in its place.
+    // The controls found that it is silent, and that an incarnation with an earlier clock has
+    // replaced it.
     view.apply(updateOf({ makeRow("i-1#150", 1, EndpointState::Ready),
                           makeRow("i-1#200", 1, EndpointState::Gone) }));
     REQUIRE(view.of(service).size() == 1);
     CHECK(view.of(service)[0]->row.id == EndpointId { "i-1#150" });
 }
 
-// A cut delays an announcement; its sender crashes meanwhile and another endpoint has its address.
-TEST_CASE("A late announcement of an endpoint does not displace the one that has its address now")
+// A network partition delays an announcement. Meanwhile its sender crashes, and another endpoint
+// starts to use its address.
+TEST_CASE(
+        "A delayed announcement of an endpoint does not displace the one that uses its address now")
 {
     auto clock = ManualClock {};
     auto view = FleetView { {}, clock };
@@ -252,7 +260,8 @@
     CHECK(view.takesWork(EndpointId { "i-2#200" }));
     CHECK_FALSE(view.takesWork(EndpointId { "i-1#100" }));
 
-    // Where no incarnation is told the later news counts, until the other is heard again.
+    // Without incarnations, the endpoint announced last is used, until the other one announces
+    // itself.
     view.apply(updateOf({ makeRow("i-3", 1, EndpointState::Ready) }));
     view.apply(updateOf({ makeRow("i-4", 1, EndpointState::Ready) }));
     view.apply(updateOf({ makeRow("i-3", 2, EndpointState::Ready) }));
--- a/gateway/testing/tst_picker.cpp
+++ b/gateway/testing/tst_picker.cpp
@@ -1,4 +1,4 @@
-// Picks with and without a balancer, and what becomes of them in the forwarder.
+// Picks with and without a balancer, and how the forwarder uses them.
 
 #include <doctest/doctest.h>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A balancer of a test: remembers what it was told, advises as the test says.
+/// A fake balancer that records what it is told and answers as the test specifies.
 struct FakeBalancer
 {
     auto link() -> BalancerLink
@@ -43,7 +43,7 @@
 
     Address address { "127.0.0.1", 1 };
     bool isConnected = true;
-    std::optional<proto::PickReply> advice; ///< Nothing: no answer in time.
+    std::optional<proto::PickReply> advice; ///< Empty if it does not answer in time.
     std::function<void()> onAsk;
     std::vector<proto::PickRequest> asked;
     std::vector<proto::PickRequest> told;
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("The balancer's endpoint is taken, and its booking ends with the request")
+TEST_CASE("The endpoint picked by the balancer is used, and its booking ends with the request")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -67,7 +67,7 @@
     CHECK(balancer.ended == std::vector<std::uint64_t> { 1, 2, 3, 4 });
 }
 
-TEST_CASE("Without an answer of a balancer the gateway chooses by itself")
+TEST_CASE("Without an answer from a balancer, the gateway chooses by itself")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -79,7 +79,7 @@
     CHECK(balancer.asked.size() == 2);
 }
 
-TEST_CASE("Advice that names none of the candidates is not taken")
+TEST_CASE("Advice that names none of the candidates is ignored")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -92,7 +92,7 @@
     CHECK(balancer.asked.size() == 2);
 }
 
-TEST_CASE("A choice of one is told and not asked")
+TEST_CASE("With a single candidate, the balancer is notified and not asked")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -103,7 +103,7 @@
     CHECK(balancer.ended.size() == 1);
 }
 
-TEST_CASE("An endpoint that leaves while the balancer is asked gets no request")
+TEST_CASE("An endpoint that leaves while the balancer is being asked gets no request")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -114,12 +114,11 @@
     balancer.onAsk = [&] { rig.tell("i-2", leaving.port, 2, catalogue::EndpointState::Draining); };
     CHECK(rig.call(Rig::request("/once/1", "id-1")).body == "one");
     CHECK(leaving.seen.empty());
-    // The booking at the endpoint that left has ended, too.
+    // The booking at the endpoint that left has ended as well.
     CHECK(balancer.ended.size() == 2);
 }
 
-TEST_CASE("A request is held back as long as the balancer asks, but no longer than the gateway "
-          "allows")
+TEST_CASE("A request is delayed for as long as the balancer asks, up to the limit of the gateway")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -133,11 +132,11 @@
     balancer.advice->holdMs = 3'600'000;
     begun = rig.clock.now();
     CHECK(rig.call(Rig::request("/once/1", "id-2")).status == 200);
-    CHECK(rig.clock.now() - begun < std::chrono::seconds { 5 }); // Of the 10 that it has.
+    CHECK(rig.clock.now() - begun < std::chrono::seconds { 5 }); // It has 10 s.
     CHECK(endpoint.seen.size() == 2);
 }
 
-TEST_CASE("A caller that leaves while its request is held back ends it at once")
+TEST_CASE("A caller that leaves while its request is delayed ends the request immediately")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link(), { .longestHold = std::chrono::hours { 1 } } };
@@ -154,11 +153,11 @@
     }
     const auto left = rig.clock.now();
     CHECK(rig.runUntil([&] { return balancer.ended.size() == 1; }));
-    CHECK(rig.clock.now() - left < std::chrono::seconds { 5 }); // Of the 10 that it had.
+    CHECK(rig.clock.now() - left < std::chrono::seconds { 5 }); // It had 10 s.
     CHECK(endpoint.seen.empty());
 }
 
-TEST_CASE("A repeat is picked anew, without the endpoint that broke")
+TEST_CASE("A retry is picked again, without the endpoint that failed")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -171,7 +170,7 @@
     CHECK(balancer.ended.size() == 2);
 }
 
-TEST_CASE("What a request puts on an endpoint is told by its parts")
+TEST_CASE("The load that a request puts on an endpoint is computed from its prompt parts")
 {
     auto request = CallerRequest {};
     request.model = ModelId { "m" };
@@ -184,13 +183,13 @@
     CHECK(terms.shared[1].tokens == 410);
     CHECK(terms.ownTokens == 250);
     CHECK(terms.outputTokens == 80);
-    // Cached prompts belong to a model and adapter.
+    // Cached prompts are specific to a model and adapter.
     request.adapter = "a1";
     CHECK(pickTerms(ServiceId { "s" }, request, std::chrono::seconds { 1 }).shared[0].key
           != terms.shared[0].key);
 }
 
-TEST_CASE("Only so many candidates are told, the gateway's own choice among them")
+TEST_CASE("The number of candidates sent is limited, and includes the gateway's own choice")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -201,7 +200,8 @@
     CHECK(balancer.asked.front().candidates.size() == PickerOptions {}.maxCandidates);
 }
 
-TEST_CASE("Where no endpoint has room a request is refused at once, with the balancer's time")
+TEST_CASE(
+        "If no endpoint has room, a request is refused immediately with the balancer's retry time")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -219,13 +219,14 @@
     CHECK(http::findHeader(got.headers, "X-Come-Back") == "1700");
     CHECK(endpoint.seen.empty());
     CHECK(rig.waiters.size() == 0);
-    // The leader hears that there are too few replicas.
+    // The leader is informed that there are too few replicas.
     const auto rows = rig.demand.take().rows;
     REQUIRE(rows.size() == 1);
     CHECK(rows[0].refused == 1);
 }
 
-TEST_CASE("Suspected work that may not run now is refused as that, and is no demand for its model")
+TEST_CASE("Suspected work that may not run now is refused with that reason, and is no demand for "
+          "its model")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -248,7 +249,7 @@
     CHECK_FALSE(balancer.asked[0].works.ofAnyone.isNone());
 }
 
-TEST_CASE("A request that can still be on time waits for a place, and gets it")
+TEST_CASE("A request that can still start in time waits for a place and gets it")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
@@ -262,24 +263,24 @@
     request.headers.push_back({ "X-Model", "m0" });
     const auto got = rig.begin(request);
     REQUIRE(rig.runUntil([&] { return balancer.asked.size() == 2; }));
-    CHECK(rig.demand.take().rows.at(0).waiting == 0); // No load is lacking.
+    CHECK(rig.demand.take().rows.at(0).waiting == 0); // No model needs to be loaded.
     balancer.advice = proto::PickReply { EndpointId { "i-1" }, 0, 0, 0, {}, 0 };
     REQUIRE(rig.runUntil([&] { return got->has_value(); }));
     CHECK((*got)->status == 200);
 }
 
-TEST_CASE("The balancer hears whether a stream began in time")
+TEST_CASE("The balancer is told whether a stream began in time")
 {
     auto balancer = FakeBalancer {};
     auto rig = Rig { {}, balancer.link() };
     auto catalogue = *testCatalogue(true);
     auto expected = proto::PickOutcome::OnTime;
-    SUBCASE("it did")
+    SUBCASE("it began in time")
     {
         for (auto &route : catalogue.routes)
             route.startTarget = 10s;
     }
-    SUBCASE("it did not")
+    SUBCASE("it began late")
     {
         for (auto &route : catalogue.routes)
             route.startTarget = 0s;
--- a/gateway/testing/tst_poisonrequest.cpp
+++ b/gateway/testing/tst_poisonrequest.cpp
@@ -1,18 +1,15 @@
-// A request under which each endpoint ends that begins to run it.
+// Poison requests: a request crashes each endpoint that begins to run it.
 //
-// What users saw: streams of one kind were broken off one after another for 12 s, and then again;
-// one endpoint after the other went away. 14 endpoints ended, each with some ten sound streams.
+// Guards against a request that crashes one endpoint after another. The gateway used to blame the
+// endpoint, answer 502 and forget what the endpoint had been running. The caller retried about once
+// a second, with the same path and body, at another gateway, which chose a healthy endpoint, and
+// that crashed as well. Within 12 s, 14 endpoints crashed, each with about ten other streams. The
+// cause was that failures were recorded by endpoint and by gateway, while this fault follows the
+// work.
 //
-// Order of events: a caller's request makes the process of the endpoint that runs it end. All
-// connections to that endpoint break. The gateway blames the endpoint, answers 502 and forgets what
-// the endpoint was doing. The caller comes again about once a second, with the same path and body,
-// at another gateway; an endpoint that has nothing to do with it is chosen, and ends.
-//
-// Cause: failures are remembered by endpoint and by gateway, and this fault travels with the work.
-//
-// Evidence: of each group of streams that broke within 2 ms at one endpoint exactly one had got no
-// event, on the same route and model each time, 20 to 800 ms after its dispatch; connections to the
-// endpoint were refused from then on.
+// The pattern by which it is recognized: of each group of streams that broke within 2 ms at one
+// endpoint, exactly one had received no event, on the same route and model each time, 20 to 800 ms
+// after its dispatch, and from then on connections to the endpoint were refused.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
@@ -30,10 +27,10 @@
 
 constexpr auto poison = "poison";
 constexpr auto endpointCount = 8;
-/// Ends of endpoints under one request after which no endpoint may get it any more.
+/// Number of endpoint crashes by one request after which it is not sent to any other endpoint.
 constexpr auto endsUntilRefused = 3;
 
-/// @return a handler under which the endpoint's process ends when it begins to run the poison
+/// @return a handler that ends the endpoint's process when it begins to run a poison request
 auto endingUnderPoison(Rig &rig, FakeEndpoint &endpoint) -> http::Handler
 {
     return [&rig, &endpoint, sound = answering("sound")](
@@ -68,7 +65,7 @@
     return request;
 }
 
-/// @return endpoints that a request with the body has reached
+/// @return number of endpoints that a request with the body has reached
 auto reached(const std::vector<FakeEndpoint *> &endpoints, const std::string &body) -> int
 {
     auto result = 0;
@@ -81,16 +78,16 @@
 
 } // namespace
 
-TEST_CASE("A request under which three endpoints have ended reaches no other")
+TEST_CASE("A request that has crashed three endpoints reaches no other endpoint")
 {
     auto rig = Rig {};
     const auto endpoints = addEndpoints(rig);
     auto path = std::string {};
-    SUBCASE("it must not run twice")
+    SUBCASE("the request must not run twice")
     {
         path = "/once/x";
     }
-    SUBCASE("it may be repeated: the gateway's own repeats count as well")
+    SUBCASE("the request may be repeated: the gateway's own retries count as well")
     {
         path = "/idem/x";
     }
@@ -102,20 +99,20 @@
     for (auto i = 0; i < endpointCount; ++i)
         last = rig.call(requestWith(path, "r" + std::to_string(i), poison));
     CHECK(reached(endpoints, poison) <= endsUntilRefused);
-    // Refused as not run, with a time to come back.
+    // Refused as not run, with a time to retry.
     CHECK(last.status == 503);
     CHECK_FALSE(http::findHeader(last.headers, "X-Come-Back").empty());
-    // What else comes is served as before.
+    // Other requests are served as before.
     for (auto i = 0; i < endpointCount; ++i) {
         const auto id = "s" + std::to_string(i);
         CHECK(rig.call(requestWith(path, id, "sound " + id)).status == 200);
     }
 }
 
-// What breaks a connection and is no end of an endpoint. Each is tried more often than it would
-// take.
+// Connections that break without a crash of the endpoint. Each case is repeated more often than a
+// quarantine would need.
 
-TEST_CASE("Connections that break while their endpoints live put nothing in quarantine")
+TEST_CASE("Connections that break while their endpoints are alive put nothing in quarantine")
 {
     auto rig = Rig {};
     auto endpoints = std::vector<FakeEndpoint *> {};
@@ -131,11 +128,11 @@
     CHECK(rig.call(requestWith("/idem/x", "last", "sound")).status == 200);
 }
 
-TEST_CASE("An endpoint's own failures, rejections and silence put nothing in quarantine")
+TEST_CASE("Error answers, rejections and timeouts of an endpoint put nothing in quarantine")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
-    SUBCASE("it fails and says so")
+    SUBCASE("it answers with an error")
     {
         endpoint.handler = [](const http::Request &request,
                               http::Responder &responder) -> boost::asio::awaitable<void> {
@@ -145,7 +142,7 @@
             static_cast<void>(co_await responder.send(std::move(response)));
         };
     }
-    SUBCASE("it rejects")
+    SUBCASE("it rejects the request")
     {
         endpoint.handler = rejecting(503);
     }
@@ -165,7 +162,7 @@
     CHECK(rig.quarantine.size() == 0);
 }
 
-TEST_CASE("An endpoint that had announced that it leaves ends as planned")
+TEST_CASE("The end of an endpoint that had announced that it is leaving counts as planned")
 {
     auto rig = Rig {};
     auto &endpoint = rig.addEndpoint("i-1");
@@ -179,33 +176,35 @@
     CHECK(rig.quarantine.size() == 0);
 }
 
-TEST_CASE("An endpoint that starts again at once has ended, as its newer incarnation shows")
+TEST_CASE("An endpoint that restarts immediately has crashed, as its newer incarnation shows")
 {
     auto rig = Rig {};
-    rig.view.setOnOver([&](const EndpointId &id, catalogue::EndpointState before) {
-        rig.endings.onOver(id, before);
+    rig.view.setOnSuperseded([&](const EndpointId &id, catalogue::EndpointState before) {
+        rig.crashDetector.onSuperseded(id, before);
         rig.forwarder.endDispatches(id);
     });
     auto &endpoint = rig.addEndpoint("i-1#1");
     endpoint.handler
             = [&](const http::Request &, http::Responder &) -> boost::asio::awaitable<void> {
-        // It listens all the while, and the connection stays open.
+        // It keeps listening, and the connection stays open.
         rig.tell("i-1#2", endpoint.port, 1, catalogue::EndpointState::Ready);
         auto timer = boost::asio::steady_timer { rig.context, std::chrono::milliseconds { 200 } };
         co_await timer.async_wait(boost::asio::use_awaitable);
     };
     CHECK(rig.call(requestWith("/once/x", "r1", "suspect")).status == 502);
-    CHECK(rig.quarantine.size() == 2); // One request, known in two ways.
+    CHECK(rig.quarantine.size() == 2); // One request with two work IDs.
 }
 
-TEST_CASE("An endpoint that had announced its leaving and starts again ends as planned")
+TEST_CASE("The end of an endpoint that had announced that it is leaving and restarts counts as "
+          "planned")
 {
-    // The story: endpoints were replaced one after another under their names, each after it had
-    // announced that it leaves. Requests still ran there as the next incarnation spoke; three such
-    // ends put sound work in quarantine.
+    // Guards against quarantine of harmless work: endpoints were replaced one after another under
+    // their names, each after it had announced that it is leaving. Requests were still running
+    // there when the next incarnation announced itself, and three such ends put their work in
+    // quarantine.
     auto rig = Rig {};
-    rig.view.setOnOver([&](const EndpointId &id, catalogue::EndpointState before) {
-        rig.endings.onOver(id, before);
+    rig.view.setOnSuperseded([&](const EndpointId &id, catalogue::EndpointState before) {
+        rig.crashDetector.onSuperseded(id, before);
         rig.forwarder.endDispatches(id);
     });
     auto &endpoint = rig.addEndpoint("i-1#1");
@@ -220,7 +219,8 @@
     CHECK(rig.quarantine.size() == 0);
 }
 
-TEST_CASE("A completed run clears what was suspected, and a caller's own poison shuts out no other")
+TEST_CASE("A completed run clears suspected work, and one caller's poison request does not affect "
+          "others")
 {
     auto rig = Rig {};
     auto endpoints = addEndpoints(rig);
@@ -239,9 +239,9 @@
         for (auto *endpoint : endpoints)
             endpoint->handler = endingUnderPoison(rig, *endpoint);
         CHECK(callAs("a", "r4") == 502);
-        CHECK(callAs("a", "r5") == 502); // Within the seconds for which that run speaks.
+        CHECK(callAs("a", "r5") == 502); // Within the time for which the completed run counts.
     }
-    SUBCASE("it ends endpoints for one account only")
+    SUBCASE("it crashes endpoints for one account only")
     {
         for (auto *endpoint : endpoints) {
             endpoint->handler
@@ -259,7 +259,7 @@
         CHECK(callAs("b", "r5") == 200);
         CHECK(callAs("c", "r6") == 200);
     }
-    SUBCASE("it comes from another address each time")
+    SUBCASE("it comes from a different account each time")
     {
         CHECK(callAs("a", "r1") == 502);
         CHECK(callAs("b", "r2") == 502);
@@ -269,7 +269,7 @@
     }
 }
 
-TEST_CASE("A refused request is no demand and takes no repeat, and its answer comes at once")
+TEST_CASE("A refused request is no demand and uses no retry, and is answered immediately")
 {
     auto rig = Rig {};
     const auto endpoints = addEndpoints(rig);
@@ -278,10 +278,10 @@
     const auto begun = rig.clock.now();
     const auto got = rig.call(requestWith("/once/x", "r4", poison));
     CHECK(got.status == 503);
-    // Ten minutes, less what has passed; the caller learns that coming back sooner is of no use.
-    const auto comeBack = std::stol(std::string { http::findHeader(got.headers, "X-Come-Back") });
-    CHECK(comeBack > 590'000);
-    CHECK(comeBack <= 600'000);
+    // Ten minutes minus the time that has passed, so that the caller does not retry sooner in vain.
+    const auto retryAfter = std::stol(std::string { http::findHeader(got.headers, "X-Come-Back") });
+    CHECK(retryAfter > 590'000);
+    CHECK(retryAfter <= 600'000);
     CHECK(rig.demand.take().rows.empty());
     CHECK(rig.waiters.size() == 0);
     CHECK(rig.clock.now() - begun < gateway::ForwarderOptions {}.awaitDocument);
--- a/gateway/waiters.cpp
+++ b/gateway/waiters.cpp
@@ -6,9 +6,9 @@
 
 namespace figrack::gateway {
 
-auto Waiters::wait(Duration patience) -> boost::asio::awaitable<void>
+auto Waiters::wait(Duration timeout) -> boost::asio::awaitable<void>
 {
-    auto timer = BootTimer { context_, patience };
+    auto timer = BootTimer { context_, timeout };
     timers_.insert(&timer);
     auto code = boost::system::error_code {};
     co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, code));
--- a/gateway/waiters.h
+++ b/gateway/waiters.h
@@ -1,9 +1,9 @@
-// Requests that wait until an endpoint can take them.
+// Suspends requests until an endpoint may be able to take them.
 //
-//   const auto woken = co_await waiters.wait(until);   // in a request's coroutine
+//   co_await waiters.wait(timeout);                     // in a request's coroutine
 //   waiters.wakeAll();                                  // when the view changes
 //
-// Each waiter looks again for itself when woken. Not thread-safe.
+// Each request checks its own condition again after waking up. Not thread-safe.
 
 #ifndef FIGRACK_GATEWAY_WAITERS_H
 #define FIGRACK_GATEWAY_WAITERS_H
@@ -24,8 +24,8 @@
     explicit Waiters(boost::asio::io_context &context)
         : context_(context)
     { }
-    /// Waits until wakeAll() or the end of the time. @param patience zero or more
-    auto wait(Duration patience) -> boost::asio::awaitable<void>;
+    /// Waits until wakeAll() is called or the timeout expires. @param timeout zero or more
+    auto wait(Duration timeout) -> boost::asio::awaitable<void>;
     auto wakeAll() -> void;
     auto size() const -> std::size_t { return timers_.size(); }
 
