--- a/report/burn.cpp
+++ b/report/burn.cpp
@@ -1,7 +1,8 @@
-// Alerts follow the usual rule of two windows: a class burns too fast when both a long
-// window, which shows that it matters, and a short one, which shows that it still goes on,
-// are past a rate. With the budget of 5 in 100 that classes usually have, a rate can at
-// most be 20, so the rates are lower than those known for budgets of 1 in 1000.
+// Alerts use multi-window burn rates: an alert is raised if the burn rate exceeds a
+// threshold both in a long window, which shows that the problem is significant, and in a
+// short window, which shows that it is still going on. With the usual error budget of 5 %,
+// the burn rate cannot exceed 20, so the thresholds are lower than those commonly used for
+// budgets of 0.1 %.
 
 #include "report/burn.h"
 
@@ -14,9 +15,10 @@
 namespace {
 
 constexpr auto maxTargetLines = std::size_t { 20000 };
-constexpr auto leastForAlert = std::uint64_t { 10 }; ///< Requests in the short window.
+constexpr auto minRequestsForAlert
+        = std::uint64_t { 10 }; ///< Eligible requests in the short window.
 
-/// Which windows, places in pyramidLevels, and which rate make an alert.
+/// The windows, as indices into pyramidLevels, and the burn rate that raises an alert.
 struct AlertRule
 {
     std::size_t shortWindow = 0;
@@ -48,9 +50,9 @@
 {
     if (eligible == 0)
         return {};
-    constexpr auto leastBudget = 1e-6; // A class that may miss nothing.
+    constexpr auto minBudget = 1e-6; // Avoids division by zero if the share is 1.
     const auto shareMet = static_cast<double>(met) / static_cast<double>(eligible);
-    const auto rate = (1 - shareMet) / std::max(1 - share, leastBudget);
+    const auto rate = (1 - shareMet) / std::max(1 - share, minBudget);
     return { shareMet, rate, 1 - rate };
 }
 
@@ -103,7 +105,7 @@
     return line;
 }
 
-auto missedMost(const BurnLine &line) -> double
+auto missedRequests(const BurnLine &line) -> double
 {
     return (1 - std::min(line.start.shareMet, line.finish.shareMet))
             * static_cast<double>(line.eligible);
@@ -123,12 +125,12 @@
     for (const auto &rule : alertRules) {
         const auto [shortBurn, requests] = burnIn(rule.shortWindow);
         const auto longBurn = burnIn(rule.longWindow).first;
-        if (requests < leastForAlert || shortBurn < rule.rate || longBurn < rule.rate)
+        if (requests < minRequestsForAlert || shortBurn < rule.rate || longBurn < rule.rate)
             continue;
         alerts.push_back({ goal.id.value(), finish, rule.level,
                            pyramidLevels[rule.shortWindow].window,
                            pyramidLevels[rule.longWindow].window, shortBurn, longBurn });
-        return; // The first rule is the most pressing.
+        return; // The rules are sorted by urgency, so the first match is reported.
     }
 }
 
@@ -158,7 +160,7 @@
         report.classes.push_back(makeLine({ name, "" }, row, input));
     for (const auto &[key, row] : counts.rows)
         report.targets.push_back(makeLine(key, row, input));
-    std::ranges::stable_sort(report.targets, std::ranges::greater {}, missedMost);
+    std::ranges::stable_sort(report.targets, std::ranges::greater {}, missedRequests);
     if (report.targets.size() > maxTargetLines)
         report.targets.resize(maxTargetLines);
     for (const auto &goal : input.classes) {
--- a/report/burnhtml.cpp
+++ b/report/burnhtml.cpp
@@ -1,5 +1,6 @@
-// One page: what is wrong first, then each class against its targets, then where time and
-// accelerators went. No script and nothing fetched, so it can be mailed and kept.
+// Renders one page: alerts first, then each class against its targets, then where request
+// time and accelerator time were spent. The page contains no scripts and loads no external
+// resources, so that it can be sent by mail and archived.
 
 #include <algorithm>
 
@@ -53,9 +54,9 @@
     const auto met = fmt::format("<td>{:.2f}</td>", 100 * burn.shareMet);
     if (!line.hasGoal)
         return met + "<td>&ndash;</td><td>&ndash;</td>";
-    const auto *tone = burn.burnRate > 1 ? "bad" : "good";
+    const auto *cssClass = burn.burnRate > 1 ? "bad" : "good";
     return met
-            + fmt::format("<td class=\"{}\">{:.2f}</td><td>{:.0f}</td>", tone, burn.burnRate,
+            + fmt::format("<td class=\"{}\">{:.2f}</td><td>{:.0f}</td>", cssClass, burn.burnRate,
                           100 * burn.budgetLeft);
 }
 
--- a/report/burnjson.cpp
+++ b/report/burnjson.cpp
@@ -1,4 +1,6 @@
-// Names and units are in the keys; shares are parts of 1. Keys are only ever added.
+// Each key contains the name and the unit of its value. Shares are fractions of 1. Keys are
+// part of the interface to scripts: new ones may be added, but existing ones must not be
+// renamed or removed.
 
 #include <boost/json.hpp>
 
--- a/report/burntext.cpp
+++ b/report/burntext.cpp
@@ -1,5 +1,6 @@
-// Fixed-width columns, so that the report reads in any terminal and diff. Names are cut
-// and cleaned, since class and model names come from outside.
+// The columns have a fixed width, so that the report is readable in any terminal and can be
+// compared with diff. Names are truncated and stripped of control characters, because class
+// and model names come from untrusted input.
 
 #include <algorithm>
 
@@ -13,9 +14,9 @@
 constexpr auto maxTargetLines = std::size_t { 20 };
 constexpr auto maxIdleLines = std::size_t { 20 };
 constexpr auto nameWidth = std::size_t { 24 };
-constexpr auto targetWidth = std::size_t { 44 }; ///< A model's and a class's name.
+constexpr auto targetWidth = std::size_t { 44 }; ///< Holds a model name and a class name.
 
-/// @return the name without control characters, cut to the column
+/// @return the name without control characters, truncated to the column width
 auto cell(std::string name, std::size_t width = nameWidth) -> std::string
 {
     for (auto &character : name) {
--- a/report/chart.cpp
+++ b/report/chart.cpp
@@ -1,4 +1,4 @@
-// Each plot is laid out in units of its own view box and scales with the page's width.
+// Each chart is laid out in the units of its own SVG view box and scales with the page width.
 
 #include "report/chart.h"
 
@@ -24,7 +24,8 @@
     return escapeHtml(label.substr(0, maxLabel - 1)) + "&#8230;";
 }
 
-/// A plot that a narrow page scrolls sideways, since its labels would become too small.
+/// Opens a chart that scrolls horizontally on a narrow page, where its labels would otherwise
+/// become too small to read.
 auto openWide(double height, std::string_view name) -> std::string
 {
     return fmt::format("<div class=\"scroll\"><svg class=\"wide\" viewBox=\"0 0 {:.0f} {:.0f}\" "
@@ -70,7 +71,7 @@
     return sum;
 }
 
-/// A position on the logarithmic scale from 10 ms to 1000 s.
+/// @return the x position of a duration on a logarithmic scale from 10 ms to 1000 s
 auto logPosition(double seconds) -> double
 {
     constexpr auto decades = 5.0;
--- a/report/collector.cpp
+++ b/report/collector.cpp
@@ -1,7 +1,7 @@
-// Each life of a router keeps its own copy of the router's pyramid, on the router's own
-// time scale: since where a slot lies depends on that scale alone, replacing slot by slot
-// is exact. The collector's own scale enters only by the time an answer was heard, which
-// tells the age of a slot to within a round trip.
+// The collector keeps a copy of the pyramid of each router instance, in the time base of that
+// router. The level and number of a slot depend only on that time base, so replacing slots
+// one by one is exact. The collector's own time base is used only for the time at which a
+// response arrived, which gives the age of a slot with an error of at most a round trip.
 
 #include "report/collector.h"
 
@@ -16,7 +16,8 @@
 
 constexpr auto savedFormat = std::uint8_t { 1 };
 constexpr auto timelineParts = Millis { 24 };
-/// Beyond it the finest slots may have moved on: ask for everything again.
+/// After a longer gap, slots of the finest level may have been merged into the next level, so
+/// the collector requests all slots again.
 constexpr auto longestGap = millisOf(std::chrono::minutes { 4 });
 
 auto toMillis(Duration duration) -> Millis
@@ -24,21 +25,24 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// One life of a router.
-struct Life
+/// Identifies one run of a router process.
+struct SourceInstance
 {
     Incarnation incarnation;
-    std::uint64_t number = 0; ///< The recorder's own.
-    auto order() const -> std::pair<Incarnation, std::uint64_t> { return { incarnation, number }; }
+    std::uint64_t instanceId = 0; ///< Of the Recorder.
+    auto order() const -> std::pair<Incarnation, std::uint64_t>
+    {
+        return { incarnation, instanceId };
+    }
 };
 
 struct Source
 {
-    Life life;
+    SourceInstance instance;
     Pyramid<CountSlot> counts;
-    Millis heardAt = 0;   ///< On the collector's scale.
-    bool isWhole = false; ///< Was once asked for everything.
-    bool ended = false;   ///< Its counts stand in ended_.
+    Millis heardAt = 0;          ///< In the collector's time base.
+    bool hasFullHistory = false; ///< True once a response covered longestWindow.
+    bool ended = false;          ///< True if the counts have been merged into ended_.
 };
 
 struct SavedSource
@@ -46,7 +50,7 @@
     NodeId node;
     Incarnation incarnation;
     std::int64_t heardAgo = 0;
-    std::string counts; ///< encodeCounts()
+    std::string counts; ///< Result of encodeCounts().
     template<typename Archive>
     auto serialize(Archive &archive) -> void
     {
@@ -57,7 +61,7 @@
 struct SavedCollector
 {
     std::uint8_t format = savedFormat;
-    std::int64_t savedAt = 0; ///< Wall time, ms since the epoch.
+    std::int64_t savedAt = 0; ///< Wall-clock time, ms since the epoch.
     std::string ended;
     std::vector<SavedSource> sources;
     template<typename Archive>
@@ -95,35 +99,39 @@
         bounds.maxRows = options_.maxRows;
         return bounds;
     }
-    auto sourceOf(const NodeId &node, const Life &life) -> absl::StatusOr<Source *>;
-    auto end(Source &source) -> void;
-    auto endSilent() -> void;
+    auto sourceOf(const NodeId &node, const SourceInstance &instance) -> absl::StatusOr<Source *>;
+    auto retire(Source &source) -> void;
+    auto retireSilent() -> void;
 
     const Clock &clock_;
     const CollectorOptions options_;
     const Instant started_;
-    Millis offset_ = longestWindow; ///< So that the past of three days is not before 0.
+    Millis offset_
+            = longestWindow; ///< Keeps times up to three days in the past from being negative.
     std::map<NodeId, Source> sources_;
-    Pyramid<CountSlot> ended_; ///< Lives that are over, on the collector's scale.
+    Pyramid<CountSlot> ended_; ///< Counts of ended router instances, in the collector's time base.
 };
 
-/// Finds the life that an answer belongs to; a later life ends the one before.
-auto Collector::Impl::sourceOf(const NodeId &node, const Life &life) -> absl::StatusOr<Source *>
+/// Returns the source that a response belongs to, and creates it if necessary. A later instance
+/// of a router retires the previous one.
+auto Collector::Impl::sourceOf(const NodeId &node, const SourceInstance &instance)
+        -> absl::StatusOr<Source *>
 {
     const auto found = sources_.find(node);
     if (found == sources_.end()) {
         if (sources_.size() >= options_.maxSources)
             return makeError(ErrorKind::Overloaded, "too many routers report");
-        auto source = Source { life, Pyramid<CountSlot> { CountSlot { bounds() } } };
+        auto source = Source { instance, Pyramid<CountSlot> { CountSlot { bounds() } } };
         return &sources_.emplace(node, std::move(source)).first->second;
     }
     auto &source = found->second;
-    if (life.order() < source.life.order() || (source.ended && life.order() == source.life.order()))
+    if (instance.order() < source.instance.order()
+        || (source.ended && instance.order() == source.instance.order()))
         return makeError(ErrorKind::Conflict, "this life of the router has ended");
-    if (life.order() == source.life.order())
+    if (instance.order() == source.instance.order())
         return &source;
-    end(source);
-    source = Source { life, Pyramid<CountSlot> { CountSlot { bounds() } } };
+    retire(source);
+    source = Source { instance, Pyramid<CountSlot> { CountSlot { bounds() } } };
     return &source;
 }
 
@@ -133,23 +141,25 @@
     auto decoded = decodeCounts(bytes, bounds());
     if (!decoded.ok())
         return decoded.status();
-    endSilent();
-    const auto found = sourceOf(node, { incarnation, decoded->life });
+    retireSilent();
+    const auto found = sourceOf(node, { incarnation, decoded->instanceId });
     if (!found.ok())
         return found.status();
     auto &source = **found;
     if (source.heardAt != 0 && decoded->now < source.counts.now())
-        return absl::OkStatus(); // Overtaken by a later answer, which holds all of it.
+        return absl::OkStatus(); // A later response, which contains all these counts, arrived
+                                 // first.
     source.counts.advance(decoded->now);
     for (auto &[id, slot] : decoded->slots)
         source.counts.replace(id, std::move(slot));
     source.heardAt = now();
-    source.isWhole = source.isWhole || decoded->window >= longestWindow;
+    source.hasFullHistory = source.hasFullHistory || decoded->window >= longestWindow;
     return absl::OkStatus();
 }
 
-/// Moves a life's counts to the collector's own scale, by the middle of each slot.
-auto Collector::Impl::end(Source &source) -> void
+/// Merges the counts of a router instance into ended_. The midpoint of each slot, converted to
+/// the collector's time base, decides the slot that it is merged into.
+auto Collector::Impl::retire(Source &source) -> void
 {
     if (source.ended)
         return;
@@ -163,12 +173,12 @@
     source.ended = true;
 }
 
-auto Collector::Impl::endSilent() -> void
+auto Collector::Impl::retireSilent() -> void
 {
     const auto present = now();
     for (auto &[node, source] : sources_) {
         if (present - source.heardAt > toMillis(options_.forgetAfter))
-            end(source);
+            retire(source);
     }
     std::erase_if(sources_, [&](const auto &item) {
         return item.second.ended && present - item.second.heardAt > longestWindow;
@@ -179,8 +189,8 @@
 {
     const auto everything = std::chrono::milliseconds { longestWindow };
     const auto found = sources_.find(node);
-    if (found == sources_.end() || found->second.life.incarnation != incarnation
-        || !found->second.isWhole)
+    if (found == sources_.end() || found->second.instance.incarnation != incarnation
+        || !found->second.hasFullHistory)
         return everything;
     const auto gap = now() - found->second.heardAt;
     if (gap > longestGap)
@@ -190,7 +200,7 @@
 
 auto Collector::Impl::merged(Millis window) -> MergedCounts
 {
-    endSilent();
+    retireSilent();
     const auto present = now();
     ended_.advance(present);
     auto merged = MergedCounts {};
@@ -237,7 +247,7 @@
 
 auto Collector::Impl::save() -> std::string
 {
-    endSilent();
+    retireSilent();
     ended_.advance(now());
     auto saved = SavedCollector {};
     saved.savedAt = wallMillis();
@@ -245,8 +255,9 @@
     for (const auto &[node, source] : sources_) {
         if (source.ended)
             continue;
-        saved.sources.push_back({ node, source.life.incarnation, now() - source.heardAt,
-                                  encodeCounts(source.life.number, longestWindow, source.counts) });
+        saved.sources.push_back(
+                { node, source.instance.incarnation, now() - source.heardAt,
+                  encodeCounts(source.instance.instanceId, longestWindow, source.counts) });
     }
     return serialize(saved);
 }
@@ -261,21 +272,21 @@
         return ended.status();
     if (saved.format != savedFormat || saved.savedAt < 0)
         return makeError(ErrorKind::Malformed, "counts of another format");
-    const auto away = std::clamp<Millis>(wallMillis() - saved.savedAt, 0, 2 * longestWindow);
+    const auto downtime = std::clamp<Millis>(wallMillis() - saved.savedAt, 0, 2 * longestWindow);
     auto sources = std::map<NodeId, Source> {};
     for (const auto &one : saved.sources) {
         auto decoded = decodeCounts(one.counts, bounds());
         if (!decoded.ok())
             return decoded.status();
-        auto source = Source { { one.incarnation, decoded->life },
+        auto source = Source { { one.incarnation, decoded->instanceId },
                                Pyramid<CountSlot> { CountSlot { bounds() } } };
         source.counts.advance(decoded->now);
         for (auto &[id, slot] : decoded->slots)
             source.counts.replace(id, std::move(slot));
-        source.heardAt = ended->now + away - std::clamp<Millis>(one.heardAgo, 0, longestWindow);
+        source.heardAt = ended->now + downtime - std::clamp<Millis>(one.heardAgo, 0, longestWindow);
         sources.emplace(one.node, std::move(source));
     }
-    offset_ += ended->now + away - now();
+    offset_ += ended->now + downtime - now();
     ended_ = Pyramid<CountSlot> { CountSlot { bounds() } };
     ended_.advance(ended->now);
     for (auto &[id, slot] : ended->slots)
--- a/report/collector.h
+++ b/report/collector.h
@@ -1,23 +1,26 @@
-// All routers' counts in one place, each request once.
+// Collects the request counts of all routers and counts each request once.
 //
 //   auto window = collector.wantedWindow(node, incarnation);   // ask the router for it
 //   auto status = collector.absorb(node, incarnation, bytes);  // Recorder::encode()
 //   auto page = collector.render(window, ReportFormat::Html, input);
 //
-// The leader asks every router for its counts each pullInterval. Bytes hold whole slots
-// of time, and a slot replaces what the same life of the same router sent for it before:
-// answers that come twice, late or out of order count nothing twice. Ordinarily a router
-// sends the last minute; a collector that heard nothing for some minutes, as a new leader
-// has not, asks for all it has.
+// The leader requests the counts of every router once per pullInterval. A router instance
+// is one run of a router process; a restart creates a new instance. A response contains
+// complete time slots, and each slot replaces the one that the same router instance sent
+// before. Responses that are duplicated, delayed or reordered therefore count no request
+// twice. A router normally sends about the last minute. A collector that has received
+// nothing from a router for some minutes, such as that of a new leader, requests all slots.
 //
-// What is lost: of a router that dies, what it counted after its last answer, so at most
-// pullInterval and a round trip. Of a leader that dies, the counts of router lives that
-// had ended before, unless save() and restore() carried them over; lives that go on are
-// asked again for all.
+// Data loss: If a router fails, the counts since its last response are lost, which is at
+// most pullInterval plus a round trip. If the leader fails, the counts of router instances
+// that had already ended are lost, unless they were transferred with save() and restore();
+// running instances are asked for all their counts again.
 //
-// Counts of a life that ended (a later life of the node was heard, or nothing for
-// forgetAfter) are merged into one pyramid, and later bytes of that life are refused as
-// Conflict. Not thread-safe. Memory: bounded by the routers alive, each bounded by its
+// A router instance has ended if a later instance of the same node has responded, or if no
+// response has arrived for forgetAfter. Its counts are then merged into one pyramid, and
+// later responses of that instance are rejected with Conflict.
+//
+// Not thread-safe. Memory is bounded by the number of running routers times the bound of a
 // Recorder, plus one pyramid.
 
 #ifndef FIGRACK_REPORT_COLLECTOR_H
@@ -40,8 +43,8 @@
 {
     Duration pullInterval = std::chrono::seconds { 10 };
     Duration forgetAfter = std::chrono::hours { 3 };
-    std::size_t maxSources = 4096; ///< Router lives known at once.
-    std::size_t maxRows = 8192;    ///< Classes times targets, of one slot.
+    std::size_t maxSources = 4096; ///< Limit on the routers known at the same time.
+    std::size_t maxRows = 8192;    ///< Limit on the rows of one slot (classes times targets).
 };
 
 enum class ReportFormat : std::uint8_t { Text, Json, Html };
@@ -56,20 +59,23 @@
     Collector(const Collector &) = delete;
     auto operator=(const Collector &) -> Collector & = delete;
 
-    /// @param incarnation of the router that answered
-    /// @param bytes of Recorder::encode(); from anywhere
-    /// @return Malformed; Conflict for a life that has ended; Overloaded past maxSources
+    /// Adds the response of a router.
+    /// @param incarnation of the router that responded
+    /// @param bytes the result of Recorder::encode(); may be untrusted
+    /// @return Malformed if the bytes cannot be decoded; Conflict if the router instance has
+    ///         ended; Overloaded if there are already maxSources routers
     auto absorb(const NodeId &node, Incarnation incarnation, std::string_view bytes)
             -> absl::Status;
-    /// @return the window to ask a router for now
+    /// @return the window to request from a router now
     auto wantedWindow(const NodeId &node, Incarnation incarnation) const -> Duration;
-    /// @param window one of 5 min, 1 h, 6 h, 3 d, or any shorter than 3 days
+    /// @param window 5 min, 1 h, 6 h, 3 days, or any other duration below 3 days
     auto merged(Duration window) -> MergedCounts;
     auto render(Duration window, ReportFormat format, const BurnInput &input) -> std::string;
 
-    /// @return all that is known, for restore() by this or another process
+    /// @return the complete state, for restore() in this or another process
     auto save() -> std::string;
-    /// Replaces what is known. @return Malformed when the bytes are not of save()
+    /// Replaces the complete state.
+    /// @return Malformed if the bytes are not a result of save(); the state is then unchanged
     auto restore(std::string_view bytes) -> absl::Status;
 
 private:
--- a/report/counts.cpp
+++ b/report/counts.cpp
@@ -1,6 +1,6 @@
-// Which requests count towards a target: those that the system was to serve. A caller
-// that went away, or that sent what cannot be served, misses no target of ours; every
-// other refusal is a miss of both, however soon it came.
+// Only requests that the system should have served count against the targets. A request that
+// the caller cancelled, or that could not be served because of what the caller sent, misses
+// no target. Every other refusal misses both targets, however quickly it was sent.
 
 #include "report/counts.h"
 
@@ -45,7 +45,8 @@
     return Counter::Failed;
 }
 
-/// @return bytes of the UTF-8 sequence that a byte begins; 0 when it begins none
+/// @return the length in bytes of the UTF-8 sequence that starts with the byte, or 0 if no
+///         sequence starts with it
 auto sequenceLength(unsigned char first) -> std::size_t
 {
     if (first < 0x80)
@@ -72,8 +73,9 @@
     return true;
 }
 
-/// Cuts a name and makes it printable: callers choose the names of what is refused.
-auto cleanName(std::string name, std::size_t most) -> std::string
+/// Truncates a name and replaces unprintable characters. The names are untrusted, because
+/// refused requests are counted under the names that their callers sent.
+auto sanitizeName(std::string name, std::size_t most) -> std::string
 {
     name.resize(std::min(name.size(), most));
     const auto valid = isUtf8(name);
@@ -147,8 +149,8 @@
 
 auto CountSlot::rowOf(RowKey key) -> Row &
 {
-    key.classId = cleanName(std::move(key.classId), bounds_.maxName);
-    key.target = cleanName(std::move(key.target), bounds_.maxName);
+    key.classId = sanitizeName(std::move(key.classId), bounds_.maxName);
+    key.target = sanitizeName(std::move(key.target), bounds_.maxName);
     if (rows_.size() >= bounds_.maxRows && !rows_.contains(key))
         key.target = otherName;
     if (rows_.size() >= bounds_.maxRows + bounds_.maxOthers && !rows_.contains(key))
--- a/report/counts.h
+++ b/report/counts.h
@@ -1,11 +1,12 @@
-// The counts of one slot of time: a row for each class and target.
+// The counts of one time slot: one row for each pair of class and target.
 //
 //   auto slot = CountSlot { bounds };
 //   slot.add(record);
 //   slot.merge(other);
 //
-// Bounded: past maxRows a record is counted under the target "(other)", so that the
-// sums of a class stay right; past a further bound also under the class "(other)".
+// The size of a slot is bounded. Once a slot has maxRows rows, records with a new key are
+// counted under the target "(other)", so that the sums of each class remain correct. Once
+// it has a further maxOthers rows, they are also counted under the class "(other)".
 
 #ifndef FIGRACK_REPORT_COUNTS_H
 #define FIGRACK_REPORT_COUNTS_H
@@ -21,21 +22,22 @@
 
 namespace figrack::report {
 
-/// What a row counts. Values travel between processes: add at the end.
+/// The counters of a row. The values are sent between processes, so new ones must be added at
+/// the end.
 enum class Counter : std::uint8_t {
-    Eligible, ///< Counts towards the share: all but what is the caller's own doing.
+    Eligible, ///< Counted against the targets: not cancelled and not the caller's fault.
     Answered,
     Refused,
     Failed,
     Cancelled,
-    CallerFault, ///< Refused for what the caller sent.
-    MetStart,
-    MetFinish,
-    Cold,
+    CallerFault, ///< Refused because of what the caller sent.
+    MetStart,    ///< Met the start target.
+    MetFinish,   ///< Met the finish target.
+    Cold,        ///< Answered after a cold start.
 };
 constexpr auto counterCount = std::size_t { 9 };
 
-/// Parts of a cold start, in the order they happen.
+/// The phases of a cold start, in chronological order.
 enum class ColdPart : std::uint8_t { Queue, Decision, Store, Load, FirstToken };
 constexpr auto coldPartCount = std::size_t { 5 };
 /// @return "queue", "decision", "store", "load" or "first_token"
@@ -45,18 +47,18 @@
 {
     std::string classId;
     std::string target;
-    // NOLINTNEXTLINE(modernize-use-nullptr): version 14 mistakes a defaulted <=>.
+    // NOLINTNEXTLINE(modernize-use-nullptr): version 14 reports a defaulted <=> by mistake.
     auto operator<=>(const RowKey &) const = default;
 };
 
 struct Row
 {
     std::array<std::uint64_t, counterCount> counters {};
-    std::map<ErrorKind, std::uint64_t> reasons; ///< Of refusals and failures.
-    Histogram start;                            ///< Of answered requests, ms.
-    Histogram finish;
-    Histogram coldStart;                                ///< Start times of the cold ones.
-    std::array<std::uint64_t, coldPartCount> coldMs {}; ///< Sums over the cold ones, ms.
+    std::map<ErrorKind, std::uint64_t> reasons; ///< Refusals and failures by reason.
+    Histogram start;                            ///< Start times of answered requests, ms.
+    Histogram finish;                           ///< Finish times of answered requests, ms.
+    Histogram coldStart; ///< Start times of answered requests with a cold start, ms.
+    std::array<std::uint64_t, coldPartCount> coldMs {}; ///< Sums over these requests, ms.
 
     auto add(const RequestRecord &record) -> void;
     auto merge(const Row &other) -> void;
@@ -68,9 +70,9 @@
 
 struct RowBounds
 {
-    std::size_t maxRows = 1024;  ///< Of one slot.
-    std::size_t maxOthers = 128; ///< Classes that "(other)" is kept apart for.
-    std::size_t maxName = 128;   ///< Longer names are cut, bytes.
+    std::size_t maxRows = 1024;  ///< Rows of one slot before "(other)" is used as the target.
+    std::size_t maxOthers = 128; ///< Further rows before "(other)" is also used as the class.
+    std::size_t maxName = 128;   ///< Bytes; longer names are truncated.
 };
 
 class CountSlot
@@ -83,7 +85,7 @@
     auto add(const RequestRecord &record) -> void;
     auto merge(const CountSlot &other) -> void;
     auto rows() const -> const std::map<RowKey, Row> & { return rows_; }
-    /// @return the row of a key, or that of "(other)" when there are too many
+    /// @return the row for a key, or that of "(other)" if the slot has too many rows
     auto rowOf(RowKey key) -> Row &;
 
 private:
--- a/report/histogram.cpp
+++ b/report/histogram.cpp
@@ -1,6 +1,7 @@
-// Boost.Histogram holds the counts, in storage that starts with a byte a bin and widens
-// as counts grow; here stands only the axis. Bin of v: v itself below 8, else the three
-// bits after the leading one, counted on from the doubling that the leading one names.
+// Boost.Histogram stores the counts, starting with one byte per bin and switching to wider
+// integers as the counts grow. This file adds only the axis. A value v below 8 has bin v. For
+// larger values, the position of the leading one bit selects a group of eight bins, and the
+// three bits after it select the bin in that group.
 
 #include "report/histogram.h"
 
@@ -17,7 +18,7 @@
 constexpr auto linearBits = 3;
 constexpr auto linearBins = std::int64_t { 1 } << linearBits;
 
-/// Axis for Boost.Histogram.
+/// Log-linear axis for Boost.Histogram.
 struct LogLinearAxis
 {
     auto index(std::int64_t millis) const -> int { return Histogram::binOf(millis); }
@@ -112,19 +113,19 @@
 {
     if (!impl_)
         return 0;
-    const auto wanted = std::clamp(share, 0.0, 1.0) * static_cast<double>(impl_->total);
+    const auto targetRank = std::clamp(share, 0.0, 1.0) * static_cast<double>(impl_->total);
     auto below = 0.0;
     auto last = 0.0;
     for (auto bin = std::uint16_t { 0 }; bin < histogramBins; ++bin) {
-        const auto here = static_cast<double>(impl_->at(bin));
-        if (here == 0)
+        const auto binCount = static_cast<double>(impl_->at(bin));
+        if (binCount == 0)
             continue;
         const auto lower = static_cast<double>(lowerEdge(bin));
         const auto upper = static_cast<double>(lowerEdge(static_cast<std::uint16_t>(bin + 1)));
         last = upper;
-        if (below + here >= wanted)
-            return lower + (upper - lower) * std::max(wanted - below, 0.0) / here;
-        below += here;
+        if (below + binCount >= targetRank)
+            return lower + (upper - lower) * std::max(targetRank - below, 0.0) / binCount;
+        below += binCount;
     }
     return last;
 }
--- a/report/histogram.h
+++ b/report/histogram.h
@@ -2,13 +2,13 @@
 //
 //   auto times = Histogram {};
 //   times.add(137);
-//   times.merge(other);              // exact: as if all had been added to one
+//   times.merge(other);              // exact: same as adding all values to one histogram
 //   auto p99 = times.quantile(0.99);
 //
-// Log-linear bins: exact below 8 ms, then eight bins to each doubling, up to about
-// four and a half hours, so a quantile is off by at most an eighth of its value. Bins
-// are the same everywhere, which is what makes merging exact. An empty one takes no
-// memory beyond a pointer.
+// The bins are log-linear: values below 8 ms are exact, followed by eight bins per power of
+// two, up to about four and a half hours. The error of a quantile is therefore at most one
+// eighth of its value. All histograms have the same bins, so merging is exact. An empty
+// histogram uses no memory other than one pointer.
 
 #ifndef FIGRACK_REPORT_HISTOGRAM_H
 #define FIGRACK_REPORT_HISTOGRAM_H
@@ -19,7 +19,7 @@
 
 namespace figrack::report {
 
-/// Number of bins of every Histogram; the last holds all that is longer.
+/// Number of bins of every Histogram. The last bin also holds all longer durations.
 constexpr auto histogramBins = std::uint16_t { 176 };
 
 /// One bin that is not empty.
@@ -38,26 +38,26 @@
     Histogram(Histogram &&) noexcept;
     auto operator=(Histogram other) noexcept -> Histogram &;
 
-    /// @param millis a duration, ms; negative counts as 0
+    /// @param millis a duration, ms; negative values are counted as 0
     auto add(std::int64_t millis) -> void;
-    /// @param bin below histogramBins
+    /// @param bin less than histogramBins
     auto addBin(std::uint16_t bin, std::uint64_t count) -> void;
     auto merge(const Histogram &other) -> void;
     auto count() const -> std::uint64_t;
     /// @param share in [0, 1]
-    /// @return ms, interpolated inside its bin; 0 when empty
+    /// @return the quantile in ms, interpolated within its bin; 0 if the histogram is empty
     auto quantile(double share) const -> double;
-    /// @return the bins that are not empty, in order
+    /// @return the bins that are not empty, in ascending order
     auto bins() const -> std::vector<HistogramBin>;
 
-    /// @return the bin that a duration falls in
+    /// @return the bin that contains a duration
     static auto binOf(std::int64_t millis) -> std::uint16_t;
-    /// @return the least duration of a bin, ms
+    /// @return the shortest duration of a bin, ms
     static auto lowerEdge(std::uint16_t bin) -> std::int64_t;
 
 private:
     class Impl;
-    std::unique_ptr<Impl> impl_; ///< Null when empty.
+    std::unique_ptr<Impl> impl_; ///< Null if the histogram is empty.
 };
 
 } // namespace figrack::report
--- a/report/idle.cpp
+++ b/report/idle.cpp
@@ -1,5 +1,5 @@
-// Hours go to the slot of the time they are added, which is at most one pass of the
-// planner late.
+// Idle hours are counted in the slot of the time at which they are added, which is at most one
+// planner pass late.
 
 #include "report/idle.h"
 
@@ -16,20 +16,20 @@
     , started_(clock.now())
 { }
 
-auto IdleMeter::IdleSlot::add(const std::string &model, const std::string &reason, double more)
+auto IdleMeter::IdleSlot::add(const std::string &model, const std::string &reason, double added)
         -> void
 {
     const auto key = std::pair { model, reason };
     if (hours.size() >= maxRows && !hours.contains(key))
-        hours[{ otherName, otherName }] += more;
+        hours[{ otherName, otherName }] += added;
     else
-        hours[key] += more;
+        hours[key] += added;
 }
 
 auto IdleMeter::IdleSlot::merge(const IdleSlot &other) -> void
 {
-    for (const auto &[key, more] : other.hours)
-        add(key.first, key.second, more);
+    for (const auto &[key, added] : other.hours)
+        add(key.first, key.second, added);
 }
 
 auto IdleMeter::since() const -> Duration
@@ -43,10 +43,10 @@
 }
 
 auto IdleMeter::add(const ModelId &model, const std::string &reason, std::uint32_t accelerators,
-                    Duration lasted) -> void
+                    Duration idleTime) -> void
 {
     advance();
-    const auto hours = std::chrono::duration<double, std::ratio<3600>> { lasted }.count();
+    const auto hours = std::chrono::duration<double, std::ratio<3600>> { idleTime }.count();
     slots_.at(slots_.now())->add(model.value(), reason, hours * accelerators);
 }
 
--- a/report/idle.h
+++ b/report/idle.h
@@ -1,12 +1,13 @@
-// Idle accelerator hours by model and why each replica was kept.
+// Counts idle accelerator hours by model and by the reason why each replica was kept loaded.
 //
 //   meter.add(model, "predicted", 8, 500ms);    // 8 accelerators idle for half a second
 //   auto rows = meter.rows(window);
 //
-// The planner's process adds what stood idle since its last pass; a replica is idle while
-// it is loaded and runs nothing. Soft state: a new leader starts from nothing, and its
-// report says since when it has counted (since()). Not thread-safe; bounded like the
-// counts of requests.
+// A replica is idle while it is loaded and serves no request. On each pass, the planner's
+// process adds the idle time since the previous pass. The hours are not persisted: a new
+// leader starts with an empty meter, and since() returns how long it has been counting.
+//
+// Not thread-safe. The number of rows is bounded, as it is for the request counts.
 
 #ifndef FIGRACK_REPORT_IDLE_H
 #define FIGRACK_REPORT_IDLE_H
@@ -26,14 +27,14 @@
 {
 public:
     explicit IdleMeter(const Clock &clock);
-    /// @param reason why it is kept: one word of the planner's
-    /// @param accelerators that the replica holds
-    /// @param lasted how long it was idle since the last call for it
+    /// @param reason why the replica is kept loaded: one word, chosen by the planner
+    /// @param accelerators number of accelerators that the replica occupies
+    /// @param idleTime how long the replica was idle since the previous call for it
     auto add(const ModelId &model, const std::string &reason, std::uint32_t accelerators,
-             Duration lasted) -> void;
-    /// @return hours within a window, by model and reason
+             Duration idleTime) -> void;
+    /// @return the idle hours within a window, by model and reason
     auto rows(Duration window) -> std::vector<IdleRow>;
-    /// @return how long this meter has been counting
+    /// @return the time since this meter was created
     auto since() const -> Duration;
 
 private:
@@ -41,7 +42,7 @@
     {
         std::map<std::pair<std::string, std::string>, double> hours; ///< By model and reason.
         auto merge(const IdleSlot &other) -> void;
-        auto add(const std::string &model, const std::string &reason, double more) -> void;
+        auto add(const std::string &model, const std::string &reason, double added) -> void;
     };
 
     auto advance() -> void;
--- a/report/pyramid.h
+++ b/report/pyramid.h
@@ -1,17 +1,19 @@
-// Counts by time, finer for the near past: the slots behind the windows 5 min, 1 h, 6 h, 3 d.
+// A multi-resolution time series of counts: the more recent the counts, the shorter the time
+// slots. It provides the sums over the windows 5 min, 1 h, 6 h and 3 days.
 //
 //   pyramid.advance(now);
 //   pyramid.at(now).add(...);
 //   pyramid.forEach(window, [](SlotTime time, const Slot &slot) { ... });
 //
-// Four levels: slots of 25 s, 5 min, 30 min and 6 h. What has left a level's window is
-// merged into the next level's slot, so each count is in one slot only and a window is
-// the sum of the slots that reach into it. Its far edge is sharp to one slot of its
-// level: a twelfth of the window. Where a time lies depends on the time and on now alone,
-// so two pyramids that were told the same, in whatever steps, are equal.
+// There are four levels, with slots of 25 s, 5 min, 30 min and 6 h. Slots that are older than
+// the window of their level are merged into the slots of the next level, so each count is in
+// exactly one slot, and a window is the sum of the slots that overlap it. The old edge of a
+// window has the resolution of one slot of its level, a twelfth of the window. The slot of a
+// time depends only on that time and on now(), so two pyramids that received the same counts
+// are equal, regardless of the steps in which they were advanced.
 //
-// Slot is a value with merge(const Slot &); new ones are copies of an empty one that the
-// constructor is given. Not thread-safe.
+// Slot is a value type with merge(const Slot &). New slots are copies of the empty slot that
+// is passed to the constructor. Not thread-safe.
 
 #ifndef FIGRACK_REPORT_PYRAMID_H
 #define FIGRACK_REPORT_PYRAMID_H
@@ -33,19 +35,19 @@
     Millis end = 0; ///< Exclusive.
 };
 
-/// Which slot of which level.
+/// Identifies a slot by its level and its number in that level.
 struct SlotId
 {
     std::uint8_t level = 0;
     std::int64_t number = 0;
-    // NOLINTNEXTLINE(modernize-use-nullptr): version 14 mistakes a defaulted <=>.
+    // NOLINTNEXTLINE(modernize-use-nullptr): version 14 reports a defaulted <=> by mistake.
     auto operator<=>(const SlotId &) const = default;
 };
 
 struct PyramidLevel
 {
-    Millis slot = 0;
-    Millis window = 0;
+    Millis slot = 0;   ///< Length of a slot, ms.
+    Millis window = 0; ///< ms
 };
 
 constexpr auto millisOf(std::chrono::milliseconds time) -> Millis
@@ -60,17 +62,18 @@
         { millisOf(std::chrono::hours { 6 }), millisOf(std::chrono::hours { 72 }) },
 } };
 
-/// The longest window kept.
+/// The longest window for which counts are kept, ms.
 constexpr auto longestWindow = pyramidLevels.back().window;
 
-/// @return the times that a slot covers
+/// @return the time interval that a slot covers
 constexpr auto slotTime(SlotId id) -> SlotTime
 {
     const auto length = pyramidLevels[id.level].slot;
     return { id.number * length, (id.number + 1) * length };
 }
 
-/// @return the slot that holds a time once it is `now`; false when it has left the pyramid
+/// @return the slot that contains a time when the current time is `now`, and true; or false if
+///         the time is older than the longest window
 constexpr auto slotOf(Millis time, Millis now) -> std::pair<SlotId, bool>
 {
     for (auto level = std::size_t { 0 }; level < pyramidLevels.size(); ++level) {
@@ -92,7 +95,8 @@
         : empty_(std::move(empty))
     { }
 
-    /// Moves on to a time; a time before the last is taken as the last.
+    /// Advances the current time and merges old slots into coarser levels. A time before now() has
+    /// no effect.
     auto advance(Millis now) -> void
     {
         now_ = std::max(now_, now);
@@ -103,7 +107,7 @@
     auto now() const -> Millis { return now_; }
 
     /// @param time from 0 to now(), within the longest window
-    /// @return the slot of a time, made when it is not there; null when the time has left
+    /// @return the slot of a time, created if necessary; null if the time is too old
     auto at(Millis time) -> Slot *
     {
         const auto [id, inside] = slotOf(std::clamp<Millis>(time, 0, now_), now_);
@@ -116,19 +120,20 @@
         return found == slots_.end() ? nullptr : &found->second;
     }
 
-    /// Puts a slot in place of what is there. @param id where slotOf() has it at now()
+    /// Inserts a slot or replaces the existing one.
+    /// @param id a slot that slotOf() can return for the current now()
     auto replace(SlotId id, Slot slot) -> void { slots_.insert_or_assign(id, std::move(slot)); }
 
     auto clear() -> void { slots_.clear(); }
 
-    /// Calls visitor(SlotTime, const Slot &, SlotId) for each slot that reaches into the window.
+    /// Calls visitor(SlotTime, const Slot &, SlotId) for each slot that overlaps the window.
     template<typename Visitor>
     auto forEach(Millis window, Visitor &&visitor) const -> void
     {
         forEachAfter(now_ - window, std::forward<Visitor>(visitor));
     }
 
-    /// The same for the slots that end after a time.
+    /// Calls the visitor, as forEach() does, for each slot that ends after a time.
     template<typename Visitor>
     auto forEachAfter(Millis time, Visitor &&visitor) const -> void
     {
@@ -149,7 +154,8 @@
         return !inside || at != id;
     }
 
-    /// @return the oldest slot of the finest level that has one to move, else end()
+    /// @return the oldest slot that must move to a coarser level, from the finest level that has
+    ///         such a slot; end() if there is none
     auto nextToMove() -> typename Slots::iterator
     {
         for (auto level = std::size_t { 0 }; level < pyramidLevels.size(); ++level) {
--- a/report/recorder.cpp
+++ b/report/recorder.cpp
@@ -1,7 +1,8 @@
-// A pyramid of count slots behind one mutex. Time is the process's own monotonic time
-// since the recorder was made: a wall clock that jumps would move counts between windows.
-// The life number is the wall time of the start, mixed, so that a collector can tell one
-// life of a router from the next even when it was told the wrong incarnation.
+// A mutex protects one pyramid of count slots. Times are monotonic and relative to the
+// creation of the recorder, because a jump of the wall clock would move counts between
+// windows. The instance id is the wall-clock time at which the recorder was created. It lets
+// a collector distinguish a restarted router from its predecessor even if the collector was
+// given a wrong incarnation.
 
 #include "report/recorder.h"
 
@@ -19,7 +20,7 @@
     explicit Impl(const Clock &clock)
         : clock_(clock)
         , started_(clock.now())
-        , life_(static_cast<std::uint64_t>(clock.wallNow().time_since_epoch().count()))
+        , instanceId_(static_cast<std::uint64_t>(clock.wallNow().time_since_epoch().count()))
     { }
 
     auto record(const RequestRecord &record) -> void
@@ -34,7 +35,7 @@
         const auto lock = std::lock_guard { mutex_ };
         counts_.advance(now());
         const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(window).count();
-        return encodeCounts(life_, millis, counts_);
+        return encodeCounts(instanceId_, millis, counts_);
     }
 
 private:
@@ -46,8 +47,8 @@
 
     const Clock &clock_;
     const Instant started_;
-    const std::uint64_t life_;
-    std::mutex mutex_; ///< A leaf: nothing is locked while it is held.
+    const std::uint64_t instanceId_;
+    std::mutex mutex_; ///< Leaf lock: no other lock is acquired while it is held.
     Pyramid<CountSlot> counts_;
 };
 
--- a/report/recorder.h
+++ b/report/recorder.h
@@ -1,13 +1,15 @@
-// What became of each request, kept as mergeable histograms for the burn report.
+// Records the outcome of each request in counters and mergeable histograms for the error
+// budget report.
 //
 //   auto recorder = Recorder { clock };
-//   recorder.record(RequestRecord { ... });      // exactly once a request
+//   recorder.record(RequestRecord { ... });      // exactly once per request
 //   auto bytes = recorder.encode(window);        // merged with other routers' by Collector
 //
-// Guarantees: thread-safe; memory is bounded by classes times models seen and by
-// the windows' slots, not by requests. Percentiles come from merged histograms.
-// A router has no disk, so a recorder lives as long as its process: what survives
-// is what a Collector absorbed, and a router that dies loses what it counted since.
+// Thread-safe. Memory is bounded by the number of classes times models and by the number of
+// time slots, and does not depend on the number of requests. Percentiles are computed from
+// merged histograms. A router has no persistent storage, so a recorder's counts exist only
+// as long as its process, apart from those that a Collector has received. If a router fails,
+// the counts since its last response to a collector are lost.
 
 #ifndef FIGRACK_REPORT_RECORDER_H
 #define FIGRACK_REPORT_RECORDER_H
@@ -24,27 +26,27 @@
 
 enum class RequestEnd : std::uint8_t { Answered, Refused, Failed, Cancelled };
 
-/// Where the time of a cold start went, ms. Zero for parts that did not happen.
+/// Durations of the phases of a cold start, ms. Phases that did not occur are zero.
 struct ColdParts
 {
-    std::int64_t queue = 0;      ///< Waiting for a slot, once the replica was ready.
-    std::int64_t decision = 0;   ///< Arrival till the order to load was decided.
-    std::int64_t store = 0;      ///< Waiting for the weight store, where load does not hold it.
-    std::int64_t load = 0;       ///< Till the replica was ready.
-    std::int64_t firstToken = 0; ///< Till the first token.
+    std::int64_t queue = 0;      ///< From replica ready until a request slot was free.
+    std::int64_t decision = 0;   ///< From arrival until the decision to load the model.
+    std::int64_t store = 0;      ///< Waiting for the weight store, unless included in load.
+    std::int64_t load = 0;       ///< Until the replica was ready.
+    std::int64_t firstToken = 0; ///< Until the first token.
 };
 
 struct RequestRecord
 {
     ClassId classId;
-    std::string target; ///< The model's or service's id.
+    std::string target; ///< Id of the model or service.
     RequestEnd end = RequestEnd::Answered;
-    ErrorKind refusal = ErrorKind::Ok; ///< Why it was refused or failed.
-    std::int64_t startMs = 0;          ///< Arrival to first token.
-    std::int64_t finishMs = 0;         ///< Arrival to last token.
+    ErrorKind refusal = ErrorKind::Ok; ///< Reason for a refusal or failure.
+    std::int64_t startMs = 0;          ///< From arrival to the first token.
+    std::int64_t finishMs = 0;         ///< From arrival to the last token.
     bool metStart = false;
     bool metFinish = false;
-    bool cold = false; ///< No replica was ready when it arrived.
+    bool cold = false; ///< True if no replica was ready when the request arrived.
     ColdParts parts {};
 };
 
@@ -55,11 +57,12 @@
     ~Recorder();
     Recorder(const Recorder &) = delete;
     auto operator=(const Recorder &) -> Recorder & = delete;
-    /// Counts one request; call it exactly once for each.
+    /// Counts one request. Must be called exactly once for each request.
     auto record(const RequestRecord &record) -> void;
-    /// @param window how far back, up to 3 days
-    /// @return bytes for Collector::absorb(): every slot of time that reaches into the window,
-    ///         whole, so that absorbing it twice counts nothing twice
+    /// @param window how far back the counts go, up to 3 days
+    /// @return bytes for Collector::absorb(). They contain every time slot that overlaps the
+    ///         window as a whole, so that absorbing a slot twice counts no request twice. The
+    ///         oldest slots are left out if the result would exceed maxEncodedBytes.
     auto encode(Duration window) const -> std::string;
 
 private:
--- a/report/wire.cpp
+++ b/report/wire.cpp
@@ -1,7 +1,8 @@
-// One list of (identifier, number) pairs carries all the numbers of a row, so that a
-// number added later needs no new field: 0.. the counters, 32.. the sums of cold parts,
-// 64.. the reasons by error kind. An identifier not known is an error, since a peer of
-// another version is parted with before it sends counts.
+// All numbers of a row are encoded as one list of (identifier, number) pairs, so that a new
+// number needs no new field. Identifiers from 0 are counters, those from 32 are the sums of
+// the cold start phases, and those from 64 are the reasons by error kind. An unknown
+// identifier is an error, because connections to peers of another version are closed before
+// they send counts.
 
 #include "report/wire.h"
 
@@ -35,7 +36,7 @@
 {
     WireHistogram histogram = WireHistogram::Start;
     std::uint16_t bin = 0;
-    std::uint32_t count = 0; ///< A bin with more is sent in pieces.
+    std::uint32_t count = 0; ///< Larger counts are split into several entries.
     template<typename Archive>
     auto serialize(Archive &archive) -> void
     {
@@ -45,7 +46,7 @@
 
 struct WireRow
 {
-    std::uint32_t classId = 0; ///< Places in the table of names.
+    std::uint32_t classId = 0; ///< Index into the table of names, as is target.
     std::uint32_t target = 0;
     std::vector<WireNumber> numbers;
     std::vector<WireBin> bins;
@@ -71,7 +72,7 @@
 struct WireCounts
 {
     std::uint8_t format = formatNumber;
-    std::uint64_t life = 0;
+    std::uint64_t instanceId = 0;
     std::int64_t now = 0;
     std::int64_t window = 0;
     std::vector<std::string> names;
@@ -79,17 +80,17 @@
     template<typename Archive>
     auto serialize(Archive &archive) -> void
     {
-        archive(format, life, now, window, names, slots);
+        archive(format, instanceId, now, window, names, slots);
     }
 };
 
 class NameTable
 {
 public:
-    auto placeOf(const std::string &name) -> std::uint32_t
+    auto indexOf(const std::string &name) -> std::uint32_t
     {
         const auto [found, added]
-                = places_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
+                = indices_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
         if (added)
             names_.push_back(name);
         return found->second;
@@ -97,7 +98,7 @@
     auto take() -> std::vector<std::string> { return std::move(names_); }
 
 private:
-    std::unordered_map<std::string, std::uint32_t> places_;
+    std::unordered_map<std::string, std::uint32_t> indices_;
     std::vector<std::string> names_;
 };
 
@@ -122,7 +123,7 @@
 
 auto toWire(const RowKey &key, const Row &row, NameTable &names) -> WireRow
 {
-    auto wire = WireRow { names.placeOf(key.classId), names.placeOf(key.target), {}, {} };
+    auto wire = WireRow { names.indexOf(key.classId), names.indexOf(key.target), {}, {} };
     for (auto i = std::size_t { 0 }; i < counterCount; ++i)
         appendNumber(wire.numbers, i, row.counters[i]);
     for (auto i = std::size_t { 0 }; i < coldPartCount; ++i)
@@ -135,8 +136,8 @@
     return wire;
 }
 
-/// @return the row's encoded length, its names counted as if they stood nowhere else
-auto aboutBytes(const RowKey &key, const WireRow &row) -> std::size_t
+/// @return an estimate of the encoded length of a row in bytes, as if no other row used its names
+auto estimateBytes(const RowKey &key, const WireRow &row) -> std::size_t
 {
     constexpr auto fixed = std::size_t { 40 };
     constexpr auto number = std::size_t { 9 };
@@ -150,7 +151,7 @@
     return makeError(ErrorKind::Malformed, what);
 }
 
-auto takeNumber(const WireNumber &number, Row &row) -> bool
+auto decodeNumber(const WireNumber &number, Row &row) -> bool
 {
     const auto id = std::size_t { number.id };
     if (id < counterCount)
@@ -177,13 +178,13 @@
     return row.start;
 }
 
-auto takeRow(const WireRow &wire, const std::vector<std::string> &names, CountSlot &slot) -> bool
+auto decodeRow(const WireRow &wire, const std::vector<std::string> &names, CountSlot &slot) -> bool
 {
     if (wire.classId >= names.size() || wire.target >= names.size())
         return false;
     auto &row = slot.rowOf({ names[wire.classId], names[wire.target] });
     for (const auto &number : wire.numbers) {
-        if (!takeNumber(number, row))
+        if (!decodeNumber(number, row))
             return false;
     }
     for (const auto &[which, bin, count] : wire.bins) {
@@ -194,8 +195,8 @@
     return true;
 }
 
-/// @return true when the slot is one that a pyramid holds at that time
-auto isPlaced(const WireSlot &slot, Millis now) -> bool
+/// @return true if a pyramid can contain the slot at the given time
+auto isValidSlot(const WireSlot &slot, Millis now) -> bool
 {
     if (slot.level >= pyramidLevels.size() || slot.number < 0)
         return false;
@@ -208,19 +209,19 @@
 
 } // namespace
 
-auto encodeCounts(std::uint64_t life, Millis window, const Pyramid<CountSlot> &counts,
+auto encodeCounts(std::uint64_t instanceId, Millis window, const Pyramid<CountSlot> &counts,
                   std::size_t maxBytes) -> std::string
 {
-    auto wire = WireCounts { formatNumber, life, counts.now(), window, {}, {} };
+    auto wire = WireCounts { formatNumber, instanceId, counts.now(), window, {}, {} };
     auto names = NameTable {};
     auto bytes = std::size_t { 0 };
     counts.forEach(window, [&](SlotTime, const CountSlot &slot, SlotId id) {
         auto to = WireSlot { id.level, id.number, {} };
         for (const auto &[key, row] : slot.rows()) {
             to.rows.push_back(toWire(key, row, names));
-            bytes += aboutBytes(key, to.rows.back());
+            bytes += estimateBytes(key, to.rows.back());
         }
-        // Slots come from the finest level on, so the oldest are last.
+        // Slots are visited from the finest to the coarsest level, so the oldest are dropped.
         if (bytes <= maxBytes)
             wire.slots.push_back(std::move(to));
     });
@@ -235,17 +236,17 @@
         return status;
     if (wire.format != formatNumber)
         return malformed("counts of another format");
-    constexpr auto farthest = std::int64_t { 1 } << 52;
-    if (wire.now < 0 || wire.now > farthest || wire.names.size() > maxNames)
+    constexpr auto maxTime = std::int64_t { 1 } << 52;
+    if (wire.now < 0 || wire.now > maxTime || wire.names.size() > maxNames)
         return malformed("counts out of range");
-    auto decoded = DecodedCounts { wire.life, wire.now, wire.window, {} };
+    auto decoded = DecodedCounts { wire.instanceId, wire.now, wire.window, {} };
     for (const auto &slot : wire.slots) {
-        if (!isPlaced(slot, wire.now))
+        if (!isValidSlot(slot, wire.now))
             return malformed("a slot that no recorder holds at that time");
         auto &to = decoded.slots.emplace_back(SlotId { slot.level, slot.number },
                                               CountSlot { bounds });
         for (const auto &row : slot.rows) {
-            if (!takeRow(row, wire.names, to.second))
+            if (!decodeRow(row, wire.names, to.second))
                 return malformed("a row that no recorder makes");
         }
     }
--- a/report/wire.h
+++ b/report/wire.h
@@ -1,9 +1,9 @@
-// A pyramid of counts as bytes and back, by cereal.
+// Encodes a pyramid of counts as bytes and decodes it, using cereal.
 //
-//   auto bytes = encodeCounts({ life, window }, pyramid);
-//   auto status = decodeCounts(bytes, head, slots);       // Malformed, never an exception
+//   auto bytes = encodeCounts(instanceId, window, pyramid);
+//   auto decoded = decodeCounts(bytes, bounds);     // returns Malformed, throws no exception
 //
-// Names stand once in a table, counters and bins only where they are not zero.
+// Each name is stored once in a table. Counters and bins that are zero are omitted.
 
 #ifndef FIGRACK_REPORT_WIRE_H
 #define FIGRACK_REPORT_WIRE_H
@@ -20,27 +20,29 @@
 
 namespace figrack::report {
 
-/// Counts decoded: what one recorder held for a window when it was asked.
+/// Decoded counts: those of one recorder for a window, at the time of encoding.
 struct DecodedCounts
 {
-    std::uint64_t life = 0; ///< Tells one life of a recorder from the next.
-    Millis now = 0;         ///< On the recorder's own scale.
+    std::uint64_t instanceId = 0; ///< Distinguishes a recorder from that of a previous process.
+    Millis now = 0;               ///< In the recorder's own time base.
     Millis window = 0;
     std::vector<std::pair<SlotId, CountSlot>> slots;
 };
 
-/// Encoded counts stay below it, well within a frame of the inner protocol.
+/// Default limit on the length of encoded counts. It is well below the maximum frame size of the
+/// internal protocol.
 constexpr auto maxEncodedBytes = std::size_t { 8 } << 20;
 
-/// @param life the recorder's
-/// @param window how far back, ms
-/// @param maxBytes about how long the result may be; the oldest slots are left out past it
+/// @param instanceId of the recorder
+/// @param window how far back the counts go, ms
+/// @param maxBytes approximate limit on the length of the result; the oldest slots are left out
+///        if it would be exceeded
 /// @return bytes for decodeCounts()
-auto encodeCounts(std::uint64_t life, Millis window, const Pyramid<CountSlot> &counts,
+auto encodeCounts(std::uint64_t instanceId, Millis window, const Pyramid<CountSlot> &counts,
                   std::size_t maxBytes = maxEncodedBytes) -> std::string;
 
-/// @param bounds of the slots made
-/// @return Malformed when the bytes are no counts
+/// @param bounds of the decoded slots
+/// @return Malformed if the bytes are not valid encoded counts
 auto decodeCounts(std::string_view bytes, const RowBounds &bounds) -> absl::StatusOr<DecodedCounts>;
 
 } // namespace figrack::report
