--- a/report/testing/main.cpp
+++ b/report/testing/main.cpp
@@ -1,4 +1,4 @@
-// The test program of the package; each tst_ file holds one concern.
+// Main function of the test program of the report library.
 
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
--- a/report/testing/tst_collector.cpp
+++ b/report/testing/tst_collector.cpp
@@ -1,4 +1,5 @@
-// Counts of many routers in one place: each request once, whatever comes late, twice or never.
+// Tests that the collector counts each request of several routers once, even if responses are
+// delayed, duplicated or lost; and tests of the reports and the idle meter.
 
 #include <algorithm>
 #include <deque>
@@ -85,7 +86,8 @@
 
 } // namespace
 
-TEST_CASE("any split over routers equals one recorder, with answers lost, doubled and reordered")
+TEST_CASE("counts split over routers equal one recorder, with lost, duplicated and reordered "
+          "responses")
 {
     for (auto seed = std::uint64_t { 1 }; seed <= 12; ++seed) {
         auto random = Random { seed };
@@ -109,7 +111,7 @@
             const auto bytes
                     = parts[i]->encode(collector.wantedWindow(nodeOf(i), Incarnation { 1 }));
             if (random.chance(0.3))
-                delayed.emplace_back(i, bytes); // Comes later, perhaps never.
+                delayed.emplace_back(i, bytes); // Delivered later or never.
             else
                 CHECK(collector.absorb(nodeOf(i), Incarnation { 1 }, bytes).ok());
             if (!delayed.empty() && random.chance(0.3)) {
@@ -131,7 +133,7 @@
     }
 }
 
-TEST_CASE("a router's restart loses what it had not told, and counts nothing twice")
+TEST_CASE("a router restart loses only unreported counts, and counts no request twice")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -144,7 +146,7 @@
         before = recorder.encode(threeDays);
         CHECK(collector.absorb(node, Incarnation { 1 }, before).ok());
         clock.advance(seconds { 5 });
-        recorder.record(answered()); // Never told: the stated loss.
+        recorder.record(answered()); // Never reported: the documented loss.
     }
     clock.advance(seconds { 3 });
     auto recorder = Recorder { clock };
@@ -152,14 +154,14 @@
     CHECK(collector.wantedWindow(node, Incarnation { 2 }) == threeDays);
     CHECK(collector.absorb(node, Incarnation { 2 }, recorder.encode(threeDays)).ok());
     CHECK(eligible(collector.merged(minutes { 5 })) == 101);
-    // The old life's last answer comes once more.
+    // The last response of the old instance arrives a second time.
     CHECK(errorKind(collector.absorb(node, Incarnation { 1 }, before)) == ErrorKind::Conflict);
     CHECK(eligible(collector.merged(minutes { 5 })) == 101);
     clock.advance(hours { 80 });
     CHECK(eligible(collector.merged(threeDays)) == 0);
 }
 
-TEST_CASE("a collector that was away asks for everything, one that was not for the last minute")
+TEST_CASE("a collector requests all counts after a long gap, otherwise the last minute")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -174,7 +176,7 @@
     CHECK(collector.wantedWindow(node, Incarnation { 1 }) == threeDays);
 }
 
-TEST_CASE("a new leader has all that living routers counted; saved counts carry over the rest")
+TEST_CASE("a new leader gets all counts of running routers; saved state adds those of ended ones")
 {
     auto clock = ManualClock {};
     auto first = Collector { clock, {} };
@@ -198,7 +200,7 @@
 
     auto empty = Collector { clock, {} };
     CHECK(empty.absorb(NodeId { "b" }, Incarnation { 1 }, living.encode(threeDays)).ok());
-    CHECK(eligible(empty.merged(threeDays)) == 51); // The life that ended is lost.
+    CHECK(eligible(empty.merged(threeDays)) == 51); // The counts of the ended instance are lost.
 
     auto restored = Collector { clock, {} };
     CHECK(restored.restore(saved).ok());
@@ -211,7 +213,7 @@
     CHECK(eligible(restored.merged(threeDays)) == 81);
 }
 
-TEST_CASE("damaged saved counts are an error and leave the collector as it was")
+TEST_CASE("damaged saved state is rejected and leaves the collector unchanged")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -238,7 +240,7 @@
     CHECK(eligible(victim.merged(threeDays)) == 20);
 }
 
-TEST_CASE("a router that falls silent keeps its counts in the report")
+TEST_CASE("the counts of a router that stops responding remain in the report")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -248,7 +250,7 @@
     clock.advance(hours { 2 });
     CHECK(collector.merged(threeDays).sources.size() == 1);
     CHECK(eligible(collector.merged(hours { 6 })) == 1);
-    clock.advance(hours { 2 }); // Past forgetAfter.
+    clock.advance(hours { 2 }); // Longer than forgetAfter.
     CHECK(collector.merged(threeDays).sources.empty());
     CHECK(eligible(collector.merged(threeDays)) == 1);
     CHECK(errorKind(collector.absorb(NodeId { "r" }, Incarnation { 1 }, recorder.encode(threeDays)))
@@ -256,7 +258,7 @@
     CHECK(eligible(collector.merged(threeDays)) == 1);
 }
 
-TEST_CASE("burn, budget and alerts by the numbers")
+TEST_CASE("burn rate, error budget and alerts are computed from the counts")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -292,7 +294,7 @@
     CHECK(report.alerts[0].shortWindow == millisOf(minutes { 5 }));
 }
 
-TEST_CASE("idle hours by model and reason, within the window")
+TEST_CASE("idle hours are reported by model and reason, within the window")
 {
     auto clock = ManualClock {};
     auto meter = IdleMeter { clock };
@@ -307,7 +309,7 @@
     CHECK(meter.since() == hours { 2 });
 }
 
-TEST_CASE("each format names classes, reasons and models, and outside names do no harm")
+TEST_CASE("each format names classes, reasons and models, and escapes untrusted names")
 {
     auto clock = ManualClock {};
     auto collector = Collector { clock, {} };
@@ -327,7 +329,7 @@
         CHECK(text.find('\xff') == std::string::npos);
         if (format == ReportFormat::Html) {
             CHECK(text.find("<script>") == std::string::npos);
-            CHECK(text.find("http") == std::string::npos); // Nothing is fetched.
+            CHECK(text.find("http") == std::string::npos); // No external resources.
         }
     }
     CHECK(parseWindow("3d") == longestWindow);
--- a/report/testing/tst_recorder.cpp
+++ b/report/testing/tst_recorder.cpp
@@ -1,4 +1,4 @@
-// Histograms, the pyramid of slots, and counts as bytes.
+// Tests of histograms, the pyramid, the recorder and the encoding of counts.
 
 #include <algorithm>
 #include <vector>
@@ -15,7 +15,7 @@
 namespace figrack::report {
 namespace {
 
-/// A slot that only sums.
+/// A minimal slot type that holds one sum.
 struct Sum
 {
     std::uint64_t value = 0;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("bins cover all durations without gap and an eighth wide at most")
+TEST_CASE("bins cover all durations without gaps and are at most an eighth of their value wide")
 {
     for (auto bin = std::uint16_t { 0 }; bin < histogramBins; ++bin) {
         const auto lower = Histogram::lowerEdge(bin);
@@ -45,7 +45,7 @@
     CHECK(Histogram::binOf(INT64_MAX) == histogramBins - 1);
 }
 
-TEST_CASE("merged histograms equal one that was told all, and quantiles are near the exact ones")
+TEST_CASE("merged histograms equal one with all values, and quantiles are close to the exact ones")
 {
     auto random = Random { 7 };
     auto whole = Histogram {};
@@ -71,7 +71,7 @@
     CHECK(Histogram {}.quantile(0.99) == 0);
 }
 
-TEST_CASE("window edges in virtual time: nothing inside is missed, nothing is counted twice")
+TEST_CASE("windows in virtual time contain each count inside them exactly once")
 {
     auto random = Random { 11 };
     auto pyramid = Pyramid<Sum> {};
@@ -89,7 +89,7 @@
                 const auto first = std::ranges::upper_bound(times, now - age);
                 return static_cast<std::uint64_t>(times.end() - first);
             };
-            // The far edge is sharp to one slot of its level.
+            // The old edge of a window has the resolution of one slot of its level.
             CHECK(sumOver(pyramid, level.window) >= since(level.window));
             CHECK(sumOver(pyramid, level.window) <= since(level.window + level.slot));
         }
@@ -97,7 +97,7 @@
     CHECK(pyramid.size() < 90);
 }
 
-TEST_CASE("how often a pyramid was advanced does not show")
+TEST_CASE("the contents of a pyramid do not depend on how often it was advanced")
 {
     auto random = Random { 13 };
     auto often = Pyramid<Sum> {};
@@ -117,7 +117,7 @@
     CHECK(often.size() == seldom.size());
 }
 
-TEST_CASE("a recorder's bytes give its counts back")
+TEST_CASE("decoding the bytes of a recorder returns its counts")
 {
     auto clock = ManualClock {};
     auto recorder = Recorder { clock };
@@ -148,7 +148,7 @@
     CHECK(row.finish.count() == 2);
 }
 
-TEST_CASE("what the caller did wrong and what it cancelled misses no target")
+TEST_CASE("cancelled requests and refusals that are the caller's fault miss no target")
 {
     auto slot = CountSlot {};
     auto record = RequestRecord { ClassId { "urgent" }, "plaques" };
@@ -163,7 +163,7 @@
     CHECK(row[Counter::Cancelled] == 1);
 }
 
-TEST_CASE("made-up names do not grow a slot without bound")
+TEST_CASE("arbitrary names do not make a slot grow without bound")
 {
     auto slot = CountSlot {};
     for (auto i = 0; i < 20000; ++i) {
@@ -178,7 +178,7 @@
     CHECK(eligible == 20000);
 }
 
-TEST_CASE("encoded counts are bounded, and the newest are kept")
+TEST_CASE("the length of encoded counts is bounded, and the newest counts are kept")
 {
     auto counts = Pyramid<CountSlot> {};
     auto random = Random { 19 };
@@ -204,7 +204,7 @@
                                [](const auto &slot) { return slot.first.level == 3; }));
 }
 
-TEST_CASE("malformed counts are an error and nothing worse")
+TEST_CASE("malformed counts are rejected with an error")
 {
     auto clock = ManualClock {};
     auto recorder = Recorder { clock };
