--- a/report/counts.h
+++ b/report/counts.h
@@ -37,7 +37,8 @@
 };
 constexpr auto counterCount = std::size_t { 9 };
 
-/// The phases of a cold start, in chronological order.
+/// The phases of a cold start; see ColdParts. The values are sent between processes, so new ones
+/// must be added at the end.
 enum class ColdPart : std::uint8_t { Queue, Decision, Store, Load, FirstToken };
 constexpr auto coldPartCount = std::size_t { 5 };
 /// @return "queue", "decision", "store", "load" or "first_token"
--- a/report/recorder.h
+++ b/report/recorder.h
@@ -29,11 +29,13 @@
 /// Durations of the phases of a cold start, ms. Phases that did not occur are zero.
 struct ColdParts
 {
-    std::int64_t queue = 0;      ///< From replica ready until a request slot was free.
+    /// Waiting for a request slot after the replica was ready; the whole wait until dispatch if the
+    /// time of the load order is unknown.
+    std::int64_t queue = 0;
     std::int64_t decision = 0;   ///< From arrival until the decision to load the model.
     std::int64_t store = 0;      ///< Waiting for the weight store, unless included in load.
-    std::int64_t load = 0;       ///< Until the replica was ready.
-    std::int64_t firstToken = 0; ///< Until the first token.
+    std::int64_t load = 0;       ///< From that decision until the replica was ready.
+    std::int64_t firstToken = 0; ///< From dispatch until the first token.
 };
 
 struct RequestRecord
