--- a/cmd/ctloptions.cpp
+++ b/cmd/ctloptions.cpp
@@ -78,7 +78,7 @@
     OptionRow { "model-version", "VERSION", "version of the weights" },
     OptionRow { "base", "MODEL", "the base model of an adapter" },
     OptionRow { "weight-mb", "MIB", "accelerator memory of the weights" },
-    OptionRow { "kv-mb", "MIB", "accelerator memory reserved for the KV cache" },
+    OptionRow { "kv-mb", "MIB", "accelerator memory set aside for KV cache" },
     OptionRow { "slots", "COUNT", "streams that a replica runs concurrently" },
     OptionRow { "repeatable", "true|false", "whether calls may run more than once" },
     OptionRow { "call-timeout", "DURATION", "time limit of a call to the service" },
