--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -60,9 +60,8 @@
     KeyLeaseOptions keyLease;
     http::ServerOptions server;
     http::ClientOptions client = endpointClient();
-    Duration stopServing = std::chrono::seconds {
-        3
-    }; ///< New requests are served for this time after a stop was requested.
+    /// New requests are served for this time after a stop was requested.
+    Duration stopServing = std::chrono::seconds { 3 };
     Duration stopBy = std::chrono::milliseconds { 7500 }; ///< Time from the request to the end.
     /// Interval between demand reports. Placement works on a scale of seconds, so more frequent
     /// reports would only cost wake-ups.
